--- a/packages/gate/src/dispatch/dispatcher.ts
+++ b/packages/gate/src/dispatch/dispatcher.ts
@@ -1,13 +1,14 @@
 /**
- * Sends one admitted request to targets and decides retries. The rules:
- * - `not-run` from an agent, or a link that was down before sending: the
- *   request provably did not run, so it may go to another target, except a
- *   keyed one, which only its home agent may run;
- * - `unknown` (it may have run): a not-repeatable request is never resent,
- *   and the caller hears "outcome unknown"; a repeatable one is resent
- *   while time remains. Once pieces of its answer were delivered it is not
- *   run anew but resumed, and only where the engines can resume: a second
- *   run words its answer differently, and the caller would get pieces of two.
+ * Sends one admitted request to targets and decides whether to retry:
+ * - Outcome `not-run`, or a connection that was down before sending: the
+ *   request provably did not run, so another target may run it. A keyed
+ *   request is the exception, because only its home agent may run it.
+ * - Outcome `unknown`: the request may have run. A not-repeatable request is
+ *   never resent, and the caller gets "outcome unknown". A repeatable request
+ *   is resent until its deadline.
+ * - A request whose chunks have partly been delivered is resumed, and only in
+ *   pools whose engines can resume. Running it again would generate a
+ *   different text, and the caller would get parts of two answers.
  */
 import {
   RpcClosedError,
@@ -26,16 +27,19 @@
 import type {RetryBudget} from './retry-budget.js';
 
 /**
- * Time past a request's deadline that the gate waits for the agent's own
- * answer to the cancel, in ms. After it the gate answers the caller itself:
- * a frozen agent must not hold a caller past its window.
+ * Time after a request's deadline that the gate waits for the agent's answer
+ * to the cancellation, in ms. The gate then answers the caller itself, because
+ * a suspended agent must not hold the caller any longer.
  */
 export const DEADLINE_GRACE_MS = 250;
 
-/** When a caller whose request did not run may come back, in ms. */
+/** Default Retry-After for a request that did not run, in ms. */
 const RETRY_AFTER_MS = 1000;
 
-/** Final result of a dispatch, as the API answers it. */
+/**
+ * Final result of a dispatch, from which the API builds the answer to the
+ * caller.
+ */
 export type DispatchResult =
   | {
       readonly status: 'done';
@@ -50,38 +54,38 @@
   | {readonly status: 'unknown'; readonly reason: string}
   | {readonly status: 'deadline'; readonly ran: boolean};
 
-/** A request ready to dispatch, with its routing facts. */
+/** A request ready for dispatch, with the data that routing needs. */
 export interface DispatchJob {
   readonly request: Omit<DispatchRequest, 'attempt' | 'resume'>;
   readonly route: RouteRequest;
-  /** True when the pool's engines can go on with an interrupted stream. */
+  /** True when the pool's engines can resume an interrupted stream. */
   readonly resumable: boolean;
   readonly chunks: ChunkStream;
-  /** Aborted when the caller goes away. */
+  /** Aborted when the caller disconnects. */
   readonly signal: AbortSignal;
 }
 
-/** Dependencies of a dispatcher. */
+/** Options of a dispatcher. */
 export interface DispatcherOptions {
   readonly directory: TargetDirectory;
   readonly router: Router;
   readonly counters: Counters;
-  /** Most targets one request is tried on. */
+  /** Maximum number of targets that one request is sent to. */
   readonly maxAttempts: number;
-  /** Longest wait for an agent's receipt of a repeatable request, in ms. */
+  /** Timeout for an agent's ack of a repeatable request, in ms. */
   readonly acceptTimeoutMs: number;
   readonly retryBudget: RetryBudget;
 }
 
-/** What the tries of one request have shown so far. */
-interface Progress {
+/** State of one request across its dispatch attempts. */
+interface DispatchProgress {
   readonly tried: Set<string>;
   lastNotRun: Extract<DispatchResult, {status: 'not-run'}>;
   mayHaveRun: boolean;
 }
 
 /**
- * Runs the retry loop of one request across targets.
+ * Runs the retry loop of each request across targets.
  *
  * @example
  * const result = await createDispatcher(options).run(job);
@@ -91,10 +95,10 @@
 
   constructor(private readonly options: DispatcherOptions) {}
 
-  /** Dispatches `job`; never throws. */
+  /** Dispatches `job` and resolves with its result; never rejects. */
   async run(job: DispatchJob): Promise<DispatchResult> {
     const isKeyed = job.request.keyed;
-    const progress: Progress = {
+    const progress: DispatchProgress = {
       tried: new Set(),
       lastNotRun: {
         status: 'not-run',
@@ -128,17 +132,17 @@
     return isAllowed;
   }
 
-  /** Returns the final result, or undefined when another try is allowed. */
+  /** Returns the final result, or undefined when another attempt is allowed. */
   private judgeOutcome(
     outcome: DispatchOutcome,
     target: TargetLink,
     job: DispatchJob,
-    progress: Progress,
+    progress: DispatchProgress,
   ): DispatchResult | undefined {
     const {counters} = this.options;
     if (outcome.status === 'done') {
-      // The last guard on whole answers: a "done" whose chunks did not all
-      // arrive must not be closed as if it were complete.
+      // Final completeness check: an answer with missing chunks must not be
+      // presented to the caller as complete.
       if (outcome.chunks === job.chunks.releasedCount)
         return {status: 'done', outcome, target: target.id};
       counters.add('dispatch.answer_incomplete');
@@ -152,13 +156,13 @@
         reason: outcome.reason,
         retryAfterMs: outcome.retryAfterMs ?? RETRY_AFTER_MS,
       };
-      // A keyed request runs only at its home agent, whose ledger its copies
-      // meet; elsewhere it could run twice (spec/at-most-once.pml with
-      // KEYED_RETRY).
+      // A keyed request runs only at its home agent, whose ledger detects
+      // duplicates. On another target it could run twice
+      // (spec/at-most-once.pml with KEYED_RETRY).
       return job.request.keyed ? progress.lastNotRun : undefined;
     }
     progress.mayHaveRun = true;
-    // A request that may have started is never sent again.
+    // A not-repeatable request that may have started is never resent.
     if (job.request.notRepeatable)
       return {status: 'unknown', reason: outcome.reason};
     if (job.chunks.releasedCount > 0 && !job.resumable)
@@ -173,9 +177,9 @@
   ): Promise<TargetLink | undefined> {
     const {directory, router} = this.options;
     const {pool, keyed, ledgerKey} = job.request;
-    // Copies of a keyed request must meet the same ledger, so the home is found
-    // over all configured targets, usable or not (spec/at-most-once.pml with
-    // HOME_AMONG_USABLE).
+    // Duplicates of a keyed request must reach the same ledger, so the home is
+    // chosen among all configured targets, usable or not
+    // (spec/at-most-once.pml with HOME_AMONG_USABLE).
     if (keyed && ledgerKey !== undefined) {
       const home = await directory.findHome(pool, ledgerKey);
       return home !== undefined && !tried.has(home.id) ? home : undefined;
@@ -195,15 +199,15 @@
     const {requestId} = request;
     const cancel = () => target.cancel(requestId);
     job.signal.addEventListener('abort', cancel, {once: true});
-    const leftMs = Math.max(0, request.deadlineAt - Date.now());
-    const timer = setTimeout(cancel, leftMs);
+    const remainingMs = Math.max(0, request.deadlineAt - Date.now());
+    const timer = setTimeout(cancel, remainingMs);
     this.log.info('request_sent', {requestId, target: target.id, attempt});
     try {
       return await target.dispatch(
         {...request, attempt, resume: readResumePoint(job.chunks)},
         notice => job.chunks.push(notice),
         {
-          answerMs: leftMs + DEADLINE_GRACE_MS,
+          answerMs: remainingMs + DEADLINE_GRACE_MS,
           acceptMs: request.notRepeatable
             ? undefined
             : this.options.acceptTimeoutMs,
@@ -213,8 +217,8 @@
     } catch (error) {
       if (error instanceof TargetUnreachableError)
         return {status: 'not-run', reason: 'agent_unreachable'};
-      // An agent that was only suspended must not run a request that is
-      // answered elsewhere.
+      // An agent that resumes after a suspension must not run a request that
+      // another target has answered.
       cancel();
       const reason =
         error instanceof RpcClosedError ? 'agent_link_lost' : 'agent_no_answer';
--- a/packages/gate/src/dispatch/retry-budget.test.ts
+++ b/packages/gate/src/dispatch/retry-budget.test.ts
@@ -12,11 +12,11 @@
 import {createRetryBudget} from './retry-budget.js';
 import type {TargetLink} from '../membership/target-link.js';
 
-// One seed, so that the suite gives the same verdict every time.
+// A fixed seed makes the property tests reproducible.
 fc.configureGlobal({seed: 20261202});
 
-/** A target whose host is gone: every send fails before it is sent. */
-function createDeadTarget(id: string, onSend: () => void): TargetLink {
+/** Creates a target whose every dispatch fails before anything is sent. */
+function createUnreachableTarget(id: string, onSend: () => void): TargetLink {
   return {
     id,
     zone: 'az-1',
@@ -26,14 +26,14 @@
     isUsable: true,
     dispatch: async () => {
       onSend();
-      throw new TargetUnreachableError({}, 'gone');
+      throw new TargetUnreachableError({}, 'target unreachable');
     },
     cancel: () => {},
   };
 }
 
-describe('retry budget', () => {
-  it('never lets retries pass its ratio and burst (property)', () => {
+describe('RetryBudget', () => {
+  it('never grants more retries than burst plus ratio times requests (property)', () => {
     fc.assert(
       fc.property(fc.array(fc.boolean(), {maxLength: 500}), steps => {
         const budget = createRetryBudget({ratio: 0.2, burst: 5});
@@ -52,11 +52,11 @@
     );
   });
 
-  it('keeps an outage from multiplying the load', async () => {
-    // Guards against retries that multiply the load when every target is gone.
+  it('limits the dispatches that retries add while every target is unreachable', async () => {
+    // Guards against retries that multiply the load during an outage.
     let sends = 0;
     const targets = ['e1', 'e2', 'e3'].map(id =>
-      createDeadTarget(id, () => sends++),
+      createUnreachableTarget(id, () => sends++),
     );
     const dispatcher = createDispatcher({
       directory: {
--- a/packages/gate/src/dispatch/retry-budget.ts
+++ b/packages/gate/src/dispatch/retry-budget.ts
@@ -1,25 +1,25 @@
 /**
- * Retry budget of one gate. Each request earns a part of a retry, so that an
- * outage adds at most `ratio` to the load.
+ * Retry budget of one gate. Each request adds a fraction of a retry to the
+ * budget, so that retries during an outage add at most `ratio` to the load.
  */
 
 /** Options of a retry budget. */
 export interface RetryBudgetOptions {
   /**
-   * Retries that each request earns.
+   * Retries added to the budget by each request.
    * @default 0.2
    */
   readonly ratio?: number;
   /**
-   * Retries that may be saved up, so that a quiet gate can ride out the
-   * death of one target.
+   * Maximum number of unused retries in the budget. The reserve covers the
+   * failure of one target at a gate with few requests.
    * @default 50
    */
   readonly burst?: number;
 }
 
 /**
- * The retry budget of one gate.
+ * Limits the retries of one gate to a share of its requests.
  *
  * @example
  * const budget = createRetryBudget({ratio: 0.2});
@@ -37,12 +37,14 @@
     this.left = this.burst;
   }
 
-  /** Earns the part of a retry that a new request brings. */
+  /** Adds `ratio` retries to the budget for a new request, up to `burst`. */
   recordRequest(): void {
     this.left = Math.min(this.burst, this.left + this.ratio);
   }
 
-  /** Spends one retry; false when the budget has none. */
+  /**
+   * Takes one retry from the budget; returns false when less than one is left.
+   */
   claimRetry(): boolean {
     if (this.left < 1) return false;
     this.left -= 1;
@@ -51,7 +53,7 @@
 }
 
 /**
- * Creates a full retry budget.
+ * Creates a retry budget that starts with `burst` retries.
  *
  * @example
  * const budget = createRetryBudget();
--- a/packages/gate/src/membership/agent-connection.test.ts
+++ b/packages/gate/src/membership/agent-connection.test.ts
@@ -11,9 +11,9 @@
 import {AgentConnection} from './agent-connection.js';
 import type {RpcLink} from '@nutmeggauge/core';
 
-/** Timeout of an agent's receipt, and a longer suspension, in ms. */
-const ACCEPT_MS = 200;
-const FROZEN_MS = 500;
+/** Timeout for an agent's ack, and a longer suspension of the gate, in ms. */
+const ACK_TIMEOUT_MS = 200;
+const SUSPENSION_MS = 500;
 
 const LOAD = {
   draining: false,
@@ -23,9 +23,9 @@
   pendingDecodeTokens: 12,
 };
 
-describe('the connection to an agent', () => {
-  it('takes no report that has no figures', async () => {
-    // Guards against a load report without a figure, which ended the gate.
+describe('AgentConnection', () => {
+  it('ignores and counts load reports with a missing or invalid field', async () => {
+    // Guards against a gate crash on a load report with a missing field.
     const links: RpcLink[] = [];
     const server = createServer(socket => links.push(createRpcLink(socket)));
     const port = await openListener(server, {host: '127.0.0.1', port: 0});
@@ -41,27 +41,29 @@
     const waitUntil = async (check: () => boolean) => {
       const giveUpAt = Date.now() + 5000;
       while (!check()) {
-        if (Date.now() > giveUpAt) throw new Error('condition not reached');
+        if (Date.now() > giveUpAt)
+          throw new Error('condition not met within 5 s');
         await waitMs(5);
       }
     };
     try {
       await waitUntil(() => links.length > 0);
-      const bad = [
+      const malformedReports = [
         {},
         {...LOAD, pendingByClass: undefined},
         {...LOAD, pendingByClass: [0]},
         {...LOAD, queued: null},
         {...LOAD, pendingDecodeTokens: 'many'},
       ];
-      for (const report of bad) links[0].notify('load', report);
+      for (const report of malformedReports) links[0].notify('load', report);
       await waitUntil(
-        () => counters.read()['rpc.in.load.messages'] === bad.length,
+        () =>
+          counters.read()['rpc.in.load.messages'] === malformedReports.length,
       );
       expect(connection.isUsable).toEqual(false);
       expect(connection.load).toEqual(undefined);
       expect(counters.read()['membership.reports_malformed']).toEqual(
-        bad.length,
+        malformedReports.length,
       );
       links[0].notify('load', LOAD);
       await waitUntil(() => connection.isUsable);
@@ -73,17 +75,17 @@
     }
   });
 
-  it('takes no agent for silent whose receipt waits to be read', async () => {
-    // Guards against a receipt that arrived in time during a suspension of the
-    // gate.
+  it('accepts an ack that arrived in time but is read after the timeout because the gate was suspended', async () => {
+    // Guards against an ack timeout that fires when the gate resumes from a
+    // suspension, before the gate reads the ack that arrived meanwhile.
     const server = createServer(socket => {
       const link = createRpcLink(socket);
       link.handle('dispatch', params => {
         const {requestId} = params as {requestId: string};
         link.notify('accepted', {requestId});
-        // Blocks like a stopped process: no reads, no timers.
+        // Blocks the event loop as a stopped process would: no reads, no timers.
         const lock = new Int32Array(new SharedArrayBuffer(4));
-        Atomics.wait(lock, 0, 0, FROZEN_MS);
+        Atomics.wait(lock, 0, 0, SUSPENSION_MS);
         return {status: 'not-run', reason: 'test'};
       });
     });
@@ -109,13 +111,13 @@
     } as const;
     const bounds = {
       answerMs: 30_000,
-      acceptMs: ACCEPT_MS,
+      acceptMs: ACK_TIMEOUT_MS,
       promptTokens: 1,
     };
     const dispatch = () =>
       connection.dispatch(request, () => undefined, bounds);
     try {
-      // Waits for the link before anything is sent.
+      // Retries until the link is open, because dispatch sends nothing before.
       for (let isOpen = false; !isOpen; await waitMs(5))
         isOpen = await dispatch().then(
           outcome => {
--- a/packages/gate/src/membership/agent-connection.ts
+++ b/packages/gate/src/membership/agent-connection.ts
@@ -1,7 +1,7 @@
 /**
- * A task that owns the json-rpc link from this gate to one agent: it
- * connects and reconnects with backoff, keeps the agent's latest load
- * report, counts outstanding requests, and hands chunks to their request.
+ * The JSON-RPC connection from this gate to one agent: connects and reconnects
+ * with backoff, keeps the agent's latest load report, counts outstanding
+ * requests, and passes received chunks to the request that they belong to.
  */
 import {
   LoadReportSchema,
@@ -28,46 +28,50 @@
 } from '@nutmeggauge/core';
 import type {DispatchBounds, TargetLink} from './target-link.js';
 
-/** First and longest pause between connection attempts, in ms. */
+/** Initial and maximum backoff between connection attempts, in ms. */
 const BACKOFF_MIN_MS = 50;
 const BACKOFF_MAX_MS = 2000;
 
 /**
- * How long an agent may hold an older record before it is handed the gate's, in
- * ms: only one that cannot reach the service stays behind.
+ * Time for which an agent may hold an older configuration record before the
+ * gate sends its own, in ms. An agent that can reach the configuration service
+ * updates its record sooner.
  */
-const BEHIND_MS = 2000;
+const STALE_RECORD_GRACE_MS = 2000;
 
-/** Receives the chunks of one request. */
+/** Handles the chunks of one request. */
 export type ChunkHandler = (notice: ChunkNotice) => void;
 
-/** Options of a connection. */
+/** Options of an agent connection. */
 export interface AgentConnectionOptions {
   readonly target: Target;
   readonly pool: string;
   readonly counters: Counters;
   /**
-   * Age of an agent's last load report at which it becomes unusable, in ms:
-   * reports double as heartbeats.
+   * Age of the last load report above which the target is unusable, in ms.
+   * Load reports serve as heartbeats.
    */
   readonly heartbeatStaleMs: number;
-  /** The gate's record, handed to an agent that stays behind it. */
+  /**
+   * Reads the gate's configuration record, sent to an agent with a stale one.
+   */
   readonly readRecord: () => ConfigRecord | undefined;
 }
 
-/** The wait for one dispatch's receipt. */
-interface Receipt {
-  readonly silence: Promise<never>;
+/** The wait for the agent's ack of one dispatch. */
+interface AckWait {
+  /** Rejects when the ack times out; never resolves. */
+  readonly timedOut: Promise<never>;
   readonly markAccepted: () => void;
 }
 
-interface InFlight {
+interface InFlightRequest {
   readonly onChunk: ChunkHandler;
   readonly markAccepted: () => void;
 }
 
 /**
- * The gate's connection to one agent.
+ * Connects the gate to one agent.
  *
  * @example
  * const connection = new AgentConnection({target, pool: 'chat', counters, heartbeatStaleMs: 2500});
@@ -76,18 +80,20 @@
 export class AgentConnection implements TargetLink {
   outstanding = 0;
   load: LoadReport | undefined;
-  /** Prompt tokens sent since the last load report, which cannot show them. */
+  /** Prompt tokens sent since the last load report, by length class. */
   unreportedByClass = createClassCounts();
-  /** Set from the host list: the platform says this host is leaving. */
+  /** True while the platform's host list gives this host's state as leaving. */
   leavingByHostList = false;
-  /** Gate-local time of the last load report, in epoch ms. */
+  /** Time of the last load report by the gate's clock, in epoch ms. */
   private lastReportAt = 0;
-  /** Since when the agent's record is older than the gate's, in epoch ms. */
-  private behindSince: number | undefined;
+  /**
+   * Time since which the agent's record is older than the gate's, in epoch ms.
+   */
+  private staleRecordSince: number | undefined;
   private link: RpcLink | undefined;
   private running = false;
-  private linkWaiters: Array<() => void> = [];
-  private readonly inFlight = new Map<string, InFlight>();
+  private usableWaiters: Array<() => void> = [];
+  private readonly inFlight = new Map<string, InFlightRequest>();
   private readonly log = createLogger('membership');
 
   constructor(private readonly options: AgentConnectionOptions) {}
@@ -137,12 +143,15 @@
     this.link?.close();
   }
 
-  /** Resolves once the target is usable, or after `timeoutMs`. */
+  /**
+   * Resolves at once if the target is usable, otherwise when the next load
+   * report arrives or after `timeoutMs`.
+   */
   async waitUsable(timeoutMs: number): Promise<void> {
     if (this.isUsable) return;
     let timer: NodeJS.Timeout | undefined;
     await Promise.race([
-      new Promise<void>(resolve => this.linkWaiters.push(resolve)),
+      new Promise<void>(resolve => this.usableWaiters.push(resolve)),
       new Promise<void>(resolve => (timer = setTimeout(resolve, timeoutMs))),
     ]);
     clearTimeout(timer);
@@ -157,28 +166,28 @@
     if (link === undefined || link.isClosed) {
       throw new TargetUnreachableError(
         {info: {target: this.id}},
-        `no link to ${this.id}`,
+        `not connected to the agent of ${this.id}`,
       );
     }
     this.outstanding++;
     this.unreportedByClass[findLengthClass(bounds.promptTokens)] +=
       bounds.promptTokens;
-    const receipt = this.waitReceipt(bounds.acceptMs);
+    const ackWait = this.waitForAck(bounds.acceptMs);
     this.inFlight.set(request.requestId, {
       onChunk,
-      markAccepted: receipt.markAccepted,
+      markAccepted: ackWait.markAccepted,
     });
     const answer = link.call<DispatchOutcome>(
       RpcMethod.dispatch,
       request,
       bounds.answerMs,
     );
-    // Nobody reads the late answer of the call.
+    // Prevents an unhandled rejection when the call fails after the ack timeout.
     answer.catch(() => undefined);
     try {
-      return await Promise.race([answer, receipt.silence]);
+      return await Promise.race([answer, ackWait.timedOut]);
     } finally {
-      receipt.markAccepted();
+      ackWait.markAccepted();
       this.outstanding--;
       this.inFlight.delete(request.requestId);
     }
@@ -189,23 +198,24 @@
   }
 
   /**
-   * Starts the wait for an agent's receipt; `silence` rejects when none comes
-   * in time. Without `acceptMs` it never does.
+   * Starts the wait for an agent's ack. The returned `timedOut` rejects when no
+   * ack arrives within `acceptMs`; without `acceptMs` it never rejects.
    */
-  private waitReceipt(acceptMs: number | undefined): Receipt {
+  private waitForAck(acceptMs: number | undefined): AckWait {
     if (acceptMs === undefined)
-      return {silence: new Promise(() => {}), markAccepted: () => {}};
+      return {timedOut: new Promise(() => {}), markAccepted: () => {}};
     let timeout: ReadTimeout | undefined;
-    const silence = new Promise<never>((_resolve, reject) => {
-      // After a suspension, receipts are read before the timeout counts.
+    const timedOut = new Promise<never>((_resolve, reject) => {
+      // After a suspension of the gate, pending acks are read before the timeout
+      // fires.
       timeout = new ReadTimeout(() => {
-        // No load report from before this moment may call the agent usable.
+        // Marks the agent unusable until its next load report.
         this.lastReportAt = 0;
-        const message = `${this.id} took no request in ${acceptMs} ms`;
+        const message = `${this.id} sent no ack within ${acceptMs} ms`;
         reject(new RpcFailedError({info: {target: this.id}}, message));
       }, acceptMs);
     });
-    return {silence, markAccepted: () => timeout?.stop()};
+    return {timedOut: timedOut, markAccepted: () => timeout?.stop()};
   }
 
   private async runConnectLoop(): Promise<void> {
@@ -248,8 +258,8 @@
   }
 
   private receiveLoad(params: unknown): void {
-    // Agents of another version may omit a figure; such a target counts as
-    // silent.
+    // Agents of another version may omit a field. Their reports do not count as
+    // heartbeats.
     const {data: report} = LoadReportSchema.safeParse(params);
     if (report === undefined) {
       this.options.counters.add('membership.reports_malformed');
@@ -258,32 +268,34 @@
     this.load = report;
     this.lastReportAt = Date.now();
     this.unreportedByClass = createClassCounts();
-    for (const wake of this.linkWaiters.splice(0)) wake();
+    for (const resolve of this.usableWaiters.splice(0)) resolve();
     this.sendRecord(report.recordVersion);
   }
 
   private sendRecord(agentVersion: number | undefined): void {
     const record = this.options.readRecord();
-    const isBehind =
+    const isStale =
       record !== undefined &&
       agentVersion !== undefined &&
       agentVersion < record.version;
-    if (!isBehind) {
-      this.behindSince = undefined;
+    if (!isStale) {
+      this.staleRecordSince = undefined;
       return;
     }
-    if (this.behindSince === undefined) {
-      this.behindSince = Date.now();
+    if (this.staleRecordSince === undefined) {
+      this.staleRecordSince = Date.now();
       return;
     }
-    // An agent without a record at its second report started without the
-    // service, and refuses every keyed request.
-    const isWaiting =
-      agentVersion > 0 && Date.now() - this.behindSince < BEHIND_MS;
-    if (isWaiting) return;
-    this.behindSince = undefined;
+    // An agent without a record at its second report started while the
+    // configuration service was unreachable. It gets the gate's record at once,
+    // because it refuses every keyed request until then.
+    const isInGrace =
+      agentVersion > 0 &&
+      Date.now() - this.staleRecordSince < STALE_RECORD_GRACE_MS;
+    if (isInGrace) return;
+    this.staleRecordSince = undefined;
     this.options.counters.add('relay.records_handed');
-    // Client accounts and their keys stay at the gates.
+    // Agents get no client accounts or API keys.
     this.link?.notify(RpcMethod.record, {...record, accounts: []});
   }
 }
--- a/packages/gate/src/membership/membership.test.ts
+++ b/packages/gate/src/membership/membership.test.ts
@@ -23,21 +23,22 @@
   ],
 });
 
-describe('the host list', () => {
-  it('changes nothing when it fails with an answer', async () => {
-    // Guards against an error answer that reads as an empty host list.
+describe('Membership with a host list', () => {
+  it('keeps the last leaving state when the host list answers with an error or an invalid body', async () => {
+    // Guards against reading an error answer as an empty host list, which clears
+    // the leaving state of every host.
     const leaving = {hosts: [{id: 'e1', state: 'leaving'}]};
-    const bad: ReadonlyArray<readonly [number, unknown]> = [
+    const invalidAnswers: ReadonlyArray<readonly [number, unknown]> = [
       [503, {error: 'down'}],
       [200, {error: 'down'}],
       [200, {hosts: [{id: 'e1'}]}],
       [200, null],
     ];
     let answers: ReadonlyArray<readonly [number, unknown]> = [[200, leaving]];
-    let asked = 0;
+    let requestCount = 0;
     const server = createServer((_req, res) => {
-      const [status, body] = answers[asked % answers.length];
-      asked++;
+      const [status, body] = answers[requestCount % answers.length];
+      requestCount++;
       res.writeHead(status);
       res.end(JSON.stringify(body));
     });
@@ -54,7 +55,8 @@
     const waitUntil = async (check: () => boolean) => {
       const giveUpAt = Date.now() + 5000;
       while (!check()) {
-        if (Date.now() > giveUpAt) throw new Error('condition not reached');
+        if (Date.now() > giveUpAt)
+          throw new Error('condition not met within 5 s');
         await waitMs(5);
       }
     };
@@ -63,14 +65,14 @@
       membership.apply(RECORD);
       membership.start();
       await waitUntil(isLeaving);
-      asked = 0;
-      answers = bad;
-      const seen = new Set<boolean>();
+      requestCount = 0;
+      answers = invalidAnswers;
+      const observedStates = new Set<boolean>();
       await waitUntil(() => {
-        seen.add(isLeaving());
-        return asked > 3 * bad.length;
+        observedStates.add(isLeaving());
+        return requestCount > 3 * invalidAnswers.length;
       });
-      expect([...seen]).toEqual([true]);
+      expect([...observedStates]).toEqual([true]);
       expect((counters.read()['hostlist.read_failed'] ?? 0) > 0).toEqual(true);
     } finally {
       membership.stop();
--- a/packages/gate/src/membership/membership.ts
+++ b/packages/gate/src/membership/membership.ts
@@ -1,7 +1,7 @@
 /**
- * The gate's view of which targets serve which pool: built from the
- * configuration record, narrowed by the host list (leaving hosts) and by the
- * agents' own drain flags. Each target has one AgentConnection task.
+ * The targets of each pool as one gate sees them. They come from the
+ * configuration record; hosts that the host list gives as leaving and agents
+ * that report a drain are not usable. Each target has one AgentConnection.
  */
 import {request} from 'undici';
 import {z} from 'zod';
@@ -11,42 +11,44 @@
 import type {ConfigRecord, Counters, Pool} from '@nutmeggauge/core';
 import type {TargetDirectory} from './target-link.js';
 
-/** Options of the membership view. */
+/** Options of a Membership. */
 export interface MembershipOptions {
-  /** Name of this gate; with `subsetSize` it decides which targets it links to. */
+  /**
+   * Id of this gate; with `subsetSize`, determines the targets it connects to.
+   */
   readonly gateId: string;
   readonly counters: Counters;
-  /** Age past which a silent agent is not routed to, in ms. */
+  /** Age of the last load report above which a target is unusable, in ms. */
   readonly heartbeatStaleMs: number;
-  /** The gate's record. */
+  /** Reads the gate's configuration record. */
   readonly readRecord: () => ConfigRecord | undefined;
   /**
-   * Targets of each pool to keep links to; 0 for all.
+   * Number of targets of each pool to connect to; 0 for all.
    * @default 0
    */
   readonly subsetSize?: number;
-  /** Host list URL; absent means the host list is not read. */
+  /** Base URL of the host list service; without it, no host list is read. */
   readonly hostListUrl?: string;
   /**
-   * Period between host list reads, in ms.
+   * Interval between host list reads, in ms.
    * @default 1000
    */
   readonly hostListPollMs?: number;
 }
 
-/** Longest wait for a link to a home outside the subset, in ms. */
-const HOME_LINK_MS = 1000;
+/** Timeout for connecting to a home target outside the subset, in ms. */
+const HOME_CONNECT_TIMEOUT_MS = 1000;
 
-/** Longest wait for the host list, in ms. */
+/** Timeout for reading the host list, in ms. */
 const HOST_LIST_TIMEOUT_MS = 2000;
 
-/** An error answered as JSON is not a list. */
+/** Body of a host list answer; rejects a JSON error body. */
 const HostListSchema = z.object({
   hosts: z.array(z.object({id: z.string(), state: z.string()})),
 });
 
 /**
- * Connections of one gate, by pool.
+ * Keeps the agent connections of one gate, by pool and target.
  *
  * @example
  * const membership = createMembership({gateId: 'gate-1', counters, heartbeatStaleMs: 2500, readRecord});
@@ -54,14 +56,14 @@
  * membership.listUsable('chat');
  */
 export class Membership implements TargetDirectory {
-  private byPool = new Map<string, Map<string, AgentConnection>>();
+  private connectionsByPool = new Map<string, Map<string, AgentConnection>>();
   private readonly log = createLogger('membership');
-  private hostTimer: NodeJS.Timeout | undefined;
+  private hostListTimer: NodeJS.Timeout | undefined;
   private leaving: ReadonlySet<string> = new Set();
 
   constructor(private readonly options: MembershipOptions) {}
 
-  /** Brings connections in line with a newly accepted record. */
+  /** Opens and stops connections to match a newly accepted record. */
   apply(record: ConfigRecord): void {
     const next = new Map<string, Map<string, AgentConnection>>();
     const kept = new Set<AgentConnection>();
@@ -70,9 +72,9 @@
       next.set(pool.id, connections);
       for (const connection of connections.values()) kept.add(connection);
     }
-    const former = this.listAll();
-    this.byPool = next;
-    for (const connection of former) {
+    const previous = this.listAll();
+    this.connectionsByPool = next;
+    for (const connection of previous) {
       if (!kept.has(connection)) connection.stop();
     }
   }
@@ -85,21 +87,21 @@
     pool: string,
     key: string,
   ): Promise<AgentConnection | undefined> {
-    const connections = this.byPool.get(pool);
+    const connections = this.connectionsByPool.get(pool);
     if (connections === undefined) return undefined;
     const id = findHome([...connections.keys()], key);
     const home = id === undefined ? undefined : connections.get(id);
     if (home === undefined) return undefined;
     if (!home.isStarted) {
       home.start();
-      await home.waitUsable(HOME_LINK_MS);
+      await home.waitUsable(HOME_CONNECT_TIMEOUT_MS);
     }
     return home.isUsable ? home : undefined;
   }
 
-  /** Connections this gate keeps open, usable or not. */
+  /** Lists the started connections of this gate, usable or not. */
   listAll(): AgentConnection[] {
-    return [...this.byPool.values()]
+    return [...this.connectionsByPool.values()]
       .flatMap(connections => [...connections.values()])
       .filter(connection => connection.isStarted);
   }
@@ -108,20 +110,20 @@
   start(): void {
     const url = this.options.hostListUrl;
     if (url === undefined) return;
-    this.hostTimer = setInterval(
+    this.hostListTimer = setInterval(
       () => void this.readHostList(url),
       this.options.hostListPollMs ?? 1000,
     );
   }
 
-  /** Stops every task. */
+  /** Stops reading the host list and all connections. */
   stop(): void {
-    clearInterval(this.hostTimer);
+    clearInterval(this.hostListTimer);
     for (const connection of this.listAll()) connection.stop();
   }
 
   private listPool(pool: string): AgentConnection[] {
-    return [...(this.byPool.get(pool)?.values() ?? [])];
+    return [...(this.connectionsByPool.get(pool)?.values() ?? [])];
   }
 
   private connectPool(pool: Pool): Map<string, AgentConnection> {
@@ -130,7 +132,7 @@
     const subset = pickSubset(gateId, ids, subsetSize);
     const connections = new Map<string, AgentConnection>();
     for (const target of pool.targets) {
-      const held = this.byPool.get(pool.id)?.get(target.id);
+      const held = this.connectionsByPool.get(pool.id)?.get(target.id);
       const connection =
         held !== undefined && held.agent === target.agent
           ? held
@@ -162,15 +164,16 @@
         new Set(hosts.filter(h => h.state === 'leaving').map(h => h.id)),
       );
     } catch {
-      // The host list lags and fails at times; the agents' own drain flags
-      // still stop new work, so a missed read only delays the narrowing.
+      // The host list can be stale or unavailable. A missed read only delays a
+      // leaving state; the drain flag in an agent's load report still stops new
+      // requests.
       this.options.counters.add('hostlist.read_failed');
     }
   }
 
   private applyLeaving(leaving: ReadonlySet<string>): void {
     this.leaving = leaving;
-    for (const connections of this.byPool.values()) {
+    for (const connections of this.connectionsByPool.values()) {
       for (const connection of connections.values()) {
         const next = leaving.has(connection.id);
         if (next === connection.leavingByHostList) continue;
@@ -185,7 +188,7 @@
 }
 
 /**
- * Creates an empty membership view.
+ * Creates a membership without targets.
  *
  * @example
  * const membership = createMembership({gateId: 'gate-1', counters, heartbeatStaleMs: 2500, readRecord, hostListUrl: 'http://127.0.0.1:7300'});
--- a/packages/gate/src/membership/subset.ts
+++ b/packages/gate/src/membership/subset.ts
@@ -1,11 +1,12 @@
 /**
- * Deterministic subsetting: each gate keeps links to a few targets of every
- * pool, ranked by a hash of both names, which bounds the number of heartbeats.
+ * Deterministic subsetting: each gate connects to a subset of every pool's
+ * targets, ranked by a hash of gate id and target id. The subset limits the
+ * number of connections and heartbeats.
  */
 import {createHash} from 'node:crypto';
 
 /**
- * Picks the ids of `size` targets for `gateId`; all of them when `size` is 0.
+ * Picks the ids of `size` targets for `gateId`; returns all ids when `size` is 0.
  *
  * @example
  * pickSubset('gate-1', ['engine-1', 'engine-2', 'engine-3'], 2);
--- a/packages/gate/src/membership/target-link.ts
+++ b/packages/gate/src/membership/target-link.ts
@@ -1,6 +1,7 @@
 /**
- * What routing and dispatch see of a target: its load, and a way to send it
- * a request. AgentConnection is the one over a socket; tests use others.
+ * Interfaces through which routing and dispatch use a target: its load, and a
+ * way to send a request to it. AgentConnection implements them over a socket;
+ * tests use other implementations.
  */
 import type {
   ChunkNotice,
@@ -9,37 +10,44 @@
   LoadReport,
 } from '@nutmeggauge/core';
 
-/** What routers read of a target. */
+/** Target state that routers read. */
 export interface TargetView {
   readonly id: string;
   readonly zone: string;
-  /** Requests of this gate that the target has not answered. */
+  /** Number of this gate's requests that the target has not answered. */
   readonly outstanding: number;
   readonly load: LoadReport | undefined;
-  /** Prompt tokens this gate sent since the last load report, by length class. */
+  /**
+   * Prompt tokens that this gate sent since the last load report, by length
+   * class.
+   */
   readonly unreportedByClass: readonly number[];
 }
 
-/** Bounds on one dispatch, and what the load figures need of it. */
+/**
+ * Timeouts of one dispatch, and the prompt length counted as unreported load.
+ */
 export interface DispatchBounds {
-  /** Longest wait for the agent's answer, in ms. */
+  /** Timeout for the agent's answer, in ms. */
   readonly answerMs: number;
-  /** Longest wait for its receipt, in ms; undefined waits for the answer only. */
+  /**
+   * Timeout for the agent's ack, in ms; undefined waits for the answer only.
+   */
   readonly acceptMs?: number;
   readonly promptTokens: number;
 }
 
-/** A target that requests can be sent to. */
+/** A target to which requests can be sent. */
 export interface TargetLink extends TargetView {
-  /** True when new work may be sent here. */
+  /** True when new requests may be sent to the target. */
   readonly isUsable: boolean;
 
   /**
    * Sends a request and resolves with the agent's outcome.
    *
-   * @throws TargetUnreachableError when there is no link (nothing was sent);
-   *   RpcClosedError when the link closed after the request was written;
-   *   RpcFailedError when no receipt or no answer came in time.
+   * @throws TargetUnreachableError when there is no connection (nothing was
+   *   sent); RpcClosedError when the connection closed after the request was
+   *   written; RpcFailedError when the ack or the answer timed out.
    */
   dispatch(
     request: DispatchRequest,
@@ -47,18 +55,19 @@
     bounds: DispatchBounds,
   ): Promise<DispatchOutcome>;
 
-  /** Asks the agent to stop a request; lost silently if the link is down. */
+  /** Asks the agent to cancel a request; has no effect without a connection. */
   cancel(requestId: string): void;
 }
 
 /** The targets that a dispatcher may choose from. */
 export interface TargetDirectory {
-  /** Targets of `pool` that may take new work. */
+  /** Lists the targets of `pool` to which new requests may be sent. */
   listUsable(pool: string): readonly TargetLink[];
 
   /**
-   * The home of a keyed request: found over all configured targets, usable
-   * or not. Undefined when the home cannot be reached now.
+   * Finds the home target of the keyed request with ledger key `key` among all
+   * configured targets, usable or not. Resolves with undefined when the home is
+   * not usable now.
    */
   findHome(pool: string, key: string): Promise<TargetLink | undefined>;
 }
