--- a/packages/gate/src/admin/admin-api.ts
+++ b/packages/gate/src/admin/admin-api.ts
@@ -1,8 +1,8 @@
 /**
- * The administration API of a gate, on a port of its own: what the gate
- * sees (targets, accounts, record), its figures, and a check of a
- * configuration record before an operator publishes it. It changes nothing:
- * operators change the system by publishing records.
+ * Administration API of a gate on a separate port. Shows the gate's targets,
+ * client accounts, configuration record and metrics, and checks a record before
+ * an operator publishes it. The API is read-only; operators change the system by
+ * publishing records.
  */
 import {createServer} from 'node:http';
 import {
@@ -25,7 +25,7 @@
 import type {AccountLimits} from '../admission/limits.js';
 import type {Membership} from '../membership/membership.js';
 
-/** What the administration API reads from the gate. */
+/** The gate's state that the administration API reads. */
 export interface AdminContext {
   readonly gateId: string;
   readonly zone: string;
@@ -40,13 +40,15 @@
 /** Options of the administration API. */
 export interface AdminApiOptions {
   readonly listen: ListenAddress;
-  /** Token that callers send as a bearer; absent only on loopback. */
+  /**
+   * Bearer token that clients must send; optional on a loopback address only.
+   */
   readonly token?: string;
   readonly context: AdminContext;
 }
 
 /**
- * The task that owns the administration listener.
+ * Serves the administration API over HTTP.
  *
  * @example
  * const admin = new AdminApi({listen: {host: '127.0.0.1', port: 0}, context});
@@ -54,13 +56,13 @@
  */
 export class AdminApi {
   private readonly server = createServer((req, res) => {
-    // A client that disconnects gets no answer.
+    // A failed request, for instance by a client that disconnects, gets no answer.
     this.serve(req, res).catch(() => res.destroy());
   });
 
   constructor(private readonly options: AdminApiOptions) {}
 
-  /** The bound port, once started. */
+  /** The bound port, after `start`. */
   get port(): number {
     return readPort(this.server);
   }
@@ -145,7 +147,9 @@
   }
 }
 
-/** Tells whether gates would accept a record, and if not, every bad key. */
+/**
+ * Checks whether gates would accept a record; if not, returns the invalid keys.
+ */
 function checkRecord(raw: unknown): object {
   try {
     const record = resolveConfigRecord(raw);
--- a/packages/gate/src/admin/prometheus.ts
+++ b/packages/gate/src/admin/prometheus.ts
@@ -1,5 +1,5 @@
 /**
- * The gate's figures in the text format that Prometheus reads, by prom-client.
+ * Renders the gate's metrics in the Prometheus text format with prom-client.
  */
 import {Counter, Gauge, Registry} from 'prom-client';
 import type {LatencySummary} from '@nutmeggauge/core';
@@ -11,7 +11,7 @@
 }
 
 /**
- * Renders counters and the TTFT percentiles.
+ * Renders the counters and the percentiles of the time to first token.
  *
  * @example
  * await renderPrometheus({'api.requests': 3}, ttft.summarize());
--- a/packages/gate/src/api/handler-context.ts
+++ b/packages/gate/src/api/handler-context.ts
@@ -1,4 +1,4 @@
-/** What serving a caller's request reads from the gate. */
+/** State and services of the gate that serving a caller's request uses. */
 import type {
   Account,
   ConfigRecord,
@@ -10,7 +10,7 @@
 import type {Dispatcher} from '../dispatch/dispatcher.js';
 import type {Membership} from '../membership/membership.js';
 
-/** What the handler reads from the gate. */
+/** The gate's state and services that request handlers use. */
 export interface HandlerContext {
   readonly gateId: string;
   readonly counters: Counters;
@@ -18,10 +18,10 @@
   readonly membership: Membership;
   readonly dispatcher: Dispatcher;
   readonly figures: EstimateFigures;
-  /** Time to first piece at this gate, in ms. */
+  /** Time to first token at this gate, in ms. */
   readonly ttft: LatencyHistogram;
   readonly readRecord: () => ConfigRecord | undefined;
   readonly findAccount: (key: string) => Account | undefined;
-  /** True once the gate takes no more requests. */
+  /** Returns true once the gate accepts no more requests. */
   readonly isClosed: () => boolean;
 }
--- a/packages/gate/src/api/handler.ts
+++ b/packages/gate/src/api/handler.ts
@@ -1,6 +1,6 @@
 /**
- * The caller API's front: authenticates one HTTP request, checks that its
- * account may send it, and hands it on.
+ * HTTP handler of the caller API: authenticates a request, validates it, checks
+ * what its client account may use, and passes it on to be served.
  */
 import {randomBytes} from 'node:crypto';
 import {
@@ -23,10 +23,10 @@
 
 const log = createLogger('api');
 
-let nextRequest = 1;
+let nextRequestNumber = 1;
 
 /**
- * Serves one caller request on `/v1/completions`, `/v1/chat/completions` or
+ * Handles one caller request on `/v1/completions`, `/v1/chat/completions` or
  * `/v1/services/{service}/{op}`.
  *
  * @example
@@ -37,26 +37,27 @@
   req: IncomingMessage,
   res: ServerResponse,
 ): Promise<void> {
-  const requestId = `${context.gateId}-${nextRequest++}-${randomBytes(3).toString('hex')}`;
+  const requestId = `${context.gateId}-${nextRequestNumber++}-${randomBytes(3).toString('hex')}`;
   const sendError = (status: number, type: CallerErrorType, reason: string) => {
     context.counters.add(`api.${type}`);
     sendJson(res, status, renderError(type, reason, requestId));
   };
-  // A connection that ends with its answer is reset over an unread body.
-  const readRest = async () => {
+  // Closing a connection after the answer resets it if part of the body is
+  // unread, so the rest is read first.
+  const dropUnreadBody = async () => {
     if (!res.shouldKeepAlive) await dropBody(req);
   };
   context.counters.add('api.requests');
   observeRequest(log, requestId, req, res);
   if (context.isClosed()) {
-    await readRest();
+    await dropUnreadBody();
     const body = renderError('shutting_down', 'gate_draining', requestId);
     sendJson(res, 503, body, {...toRetryAfter(1000), connection: 'close'});
     return;
   }
   const record = context.readRecord();
   if (record === undefined) {
-    await readRest();
+    await dropUnreadBody();
     sendRefusal(
       res,
       {status: 503, reason: 'not_configured', retryAfterMs: 1000},
@@ -67,7 +68,7 @@
   const key = /^Bearer (.+)$/.exec(req.headers.authorization ?? '')?.[1];
   const account = key === undefined ? undefined : context.findAccount(key);
   if (account === undefined) {
-    await readRest();
+    await dropUnreadBody();
     const reason = key === undefined ? 'missing_key' : 'unknown_key';
     sendError(401, 'unauthorized', reason);
     return;
@@ -76,7 +77,8 @@
   try {
     bytes = await readBody(req, MAX_BODY_BYTES);
   } catch {
-    // The caller left amid its body: nobody waits, and nothing may run.
+    // The caller disconnected while sending its body: nothing runs, and no
+    // answer is sent.
     context.counters.add('api.caller_left');
     return;
   }
--- a/packages/gate/src/api/open-requests.ts
+++ b/packages/gate/src/api/open-requests.ts
@@ -1,36 +1,36 @@
-/** Requests without a complete answer, and the end of their connections. */
+/** Tracks requests without a complete answer and closes their connections. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Socket} from 'node:net';
 
 /**
- * The open requests of one server.
+ * Tracks the open requests of one HTTP server.
  *
  * @example
  * const requests = new OpenRequests();
- * server.on('request', (req, res) => requests.observe(req, res));
+ * server.on('request', (req, res) => requests.add(req, res));
  */
 export class OpenRequests {
   private readonly sockets = new Map<ServerResponse, Socket>();
-  private isEnding = false;
+  private isClosing = false;
 
-  /** Number of requests whose answer is not sent. */
+  /** Number of requests that are not completely answered. */
   get count(): number {
     return this.sockets.size;
   }
 
-  /** Takes in a request that has just arrived. */
-  observe(req: IncomingMessage, res: ServerResponse): void {
+  /** Adds a request that has just arrived. */
+  add(req: IncomingMessage, res: ServerResponse): void {
     this.sockets.set(res, req.socket);
     res.once('close', () => this.sockets.delete(res));
-    if (this.isEnding) res.shouldKeepAlive = false;
+    if (this.isClosing) res.shouldKeepAlive = false;
   }
 
   /**
-   * Makes each answer the last one on its connection, so that no caller reuses
-   * the connection of a process that ends.
+   * Closes each connection after its current answer, so that no caller reuses
+   * a connection to a process that is shutting down.
    */
-  endConnections(): void {
-    this.isEnding = true;
+  closeConnectionsAfterAnswers(): void {
+    this.isClosing = true;
     for (const [res, socket] of this.sockets) {
       if (!res.headersSent) res.shouldKeepAlive = false;
       else res.once('finish', () => socket.end());
--- a/packages/gate/src/api/request-log.test.ts
+++ b/packages/gate/src/api/request-log.test.ts
@@ -7,15 +7,15 @@
 import type {Server} from 'node:http';
 import type {LogFields, Logger} from '@nutmeggauge/core';
 
-describe('the lines of a request', () => {
+describe('the log events of a caller request', () => {
   const events: string[] = [];
-  /** Fields of the lines `request_ended`. */
-  const lines: LogFields[] = [];
+  /** Fields of each `request_ended` event. */
+  const requestEndedFields: LogFields[] = [];
   const drop = () => undefined;
   const log: Logger = {
     info: (event, fields = {}) => {
       events.push(event);
-      if (event === 'request_ended') lines.push(fields);
+      if (event === 'request_ended') requestEndedFields.push(fields);
     },
     warn: drop,
     error: drop,
@@ -36,18 +36,18 @@
 
   after(() => closeHttpServer(server));
 
-  async function waitForLine(): Promise<LogFields> {
-    while (lines.length === 0)
+  async function waitForRequestEnded(): Promise<LogFields> {
+    while (requestEndedFields.length === 0)
       await new Promise(resolve => setTimeout(resolve, 5));
-    return lines.splice(0)[0];
+    return requestEndedFields.splice(0)[0];
   }
 
-  it('follow it from its connection to its answer', async () => {
-    // Guards against a lost request of which no log says how far it came.
+  it('are logged for connection, arrival, body, answer and disconnection in this order', async () => {
+    // Guards against a lost request whose progress no log event shows.
     request({port, method: 'POST', headers: {connection: 'close'}})
       .end('whole')
       .once('response', res => res.resume());
-    await waitForLine();
+    await waitForRequestEnded();
     while (!events.includes('connection_closed'))
       await new Promise(resolve => setTimeout(resolve, 5));
     expect(events.splice(0)).toEqual([
@@ -59,11 +59,11 @@
     ]);
   });
 
-  it('says what its caller was answered', async () => {
+  it('include the status of the answer in request_ended', async () => {
     request({port, method: 'POST', agent: false})
       .end('whole')
       .once('response', res => res.resume());
-    const {status, isAnswered, isRead} = await waitForLine();
+    const {status, isAnswered, isRead} = await waitForRequestEnded();
     expect({status, isAnswered, isRead}).toEqual({
       status: 503,
       isAnswered: true,
@@ -71,15 +71,16 @@
     });
   });
 
-  it('tells a body that broke off from one that was not answered', async () => {
-    // Guards against a request whose end no log shows.
+  it('mark an aborted body in request_ended with isRead false and no status', async () => {
+    // Guards against a request that ends without a log event because its caller
+    // disconnects while sending the body.
     const socket = connect(port, '127.0.0.1', () =>
       socket.write(
         'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf',
       ),
     );
     server.once('request', () => socket.resetAndDestroy());
-    const {status, isAnswered, isRead} = await waitForLine();
+    const {status, isAnswered, isRead} = await waitForRequestEnded();
     expect({status, isAnswered, isRead}).toEqual({
       status: undefined,
       isAnswered: false,
--- a/packages/gate/src/api/request-log.ts
+++ b/packages/gate/src/api/request-log.ts
@@ -1,5 +1,5 @@
 /**
- * Log lines that follow a caller's request from its connection to its answer:
+ * Log events of a caller's request, from its connection to its answer:
  * `connection_opened`, `request_arrived`, `request_read`, `request_sent` (by
  * the dispatcher), `request_ended`, `connection_closed`.
  */
@@ -7,12 +7,12 @@
 import type {Socket} from 'node:net';
 import type {Logger} from '@nutmeggauge/core';
 
-/** Longest id of a caller's own that is logged, in characters. */
-const MAX_CALLER_ID_LENGTH = 64;
+/** Maximum logged length of a caller's own request id, in characters. */
+const MAX_CALLER_REQUEST_ID_LENGTH = 64;
 
 /**
- * Logs each connection's start and end. Bytes that no request accounts for were
- * read and never handed on.
+ * Logs when each connection opens and closes. Bytes of a connection that no
+ * `request_ended` event counts were received but reached no request handler.
  *
  * @example
  * observeConnections(log, server);
@@ -37,8 +37,8 @@
 }
 
 /**
- * Logs `request_arrived` now, `request_read` after the body, and
- * `request_ended` after the answer or when the connection is closed.
+ * Logs `request_arrived` at once, `request_read` after the body, and
+ * `request_ended` after the answer or when the connection closes.
  *
  * @example
  * observeRequest(log, 'gate-1-7-a1b2c3', req, res);
@@ -53,7 +53,7 @@
   const bytesBefore = req.socket.bytesRead;
   log.info('request_arrived', {
     requestId,
-    callerRequestId: readCallerId(req),
+    callerRequestId: readCallerRequestId(req),
     callerPort: req.socket.remotePort,
   });
   req.once('end', () =>
@@ -66,7 +66,7 @@
     log.info('request_ended', {
       requestId,
       status: res.headersSent ? res.statusCode : undefined,
-      // False if the caller's connection closed before the end.
+      // False if the connection closed before the answer was sent completely.
       isAnswered: res.writableFinished,
       isRead: req.complete,
       bytes: req.socket.bytesRead - bytesBefore,
@@ -76,8 +76,10 @@
   );
 }
 
-/** The caller's own id, as its `X-Request-Id` says. */
-function readCallerId({headers}: IncomingMessage): string | undefined {
+/** Reads the caller's own request id from its `X-Request-Id` header. */
+function readCallerRequestId({headers}: IncomingMessage): string | undefined {
   const id = headers['x-request-id'];
-  return typeof id === 'string' ? id.slice(0, MAX_CALLER_ID_LENGTH) : undefined;
+  return typeof id === 'string'
+    ? id.slice(0, MAX_CALLER_REQUEST_ID_LENGTH)
+    : undefined;
 }
--- a/packages/gate/src/api/requests.ts
+++ b/packages/gate/src/api/requests.ts
@@ -1,11 +1,11 @@
 /**
- * Parsing of caller requests (OpenAI-style completions and chat
- * completions, and plain service calls) into one shape.
+ * Parses caller requests (OpenAI-style completions and chat completions, and
+ * calls of plain services) into one common type.
  */
 import {describeIssues} from '@nutmeggauge/core';
 import {z} from 'zod';
 
-/** Most tokens that one request may ask to generate. */
+/** Maximum number of tokens that a request may ask to generate. */
 const MAX_NEW_TOKENS = 32_768;
 
 const GenerateSchema = z.object({
@@ -20,10 +20,10 @@
   messages: z.array(z.object({role: z.string(), content: z.string()})).min(1),
 });
 
-/** A caller request in the gate's own terms. */
+/** A caller request of any API, as the gate handles it. */
 export interface CallerRequest {
   readonly api: 'completion' | 'chat' | 'call';
-  /** Model pool or plain service id. */
+  /** Id of the model pool or plain service. */
   readonly pool: string;
   readonly prompt: string;
   readonly maxTokens: number;
@@ -33,7 +33,8 @@
 }
 
 /**
- * Parses a caller body for `path`; returns a message on failure.
+ * Parses the body of a caller request to `path`; returns an error message if it
+ * is invalid.
  *
  * @example
  * parseCallerRequest('/v1/completions', {model: 'chat', prompt: 'hi'});
@@ -45,13 +46,13 @@
   if (path === '/v1/completions') {
     const parsed = CompletionSchema.safeParse(body);
     if (!parsed.success) return {error: describeIssues(parsed.error.issues)};
-    return toGenerate('completion', parsed.data, parsed.data.prompt);
+    return toGenerateRequest('completion', parsed.data, parsed.data.prompt);
   }
   if (path === '/v1/chat/completions') {
     const parsed = ChatSchema.safeParse(body);
     if (!parsed.success) return {error: describeIssues(parsed.error.issues)};
     const lines = parsed.data.messages.map(m => `${m.role}: ${m.content}`);
-    return toGenerate('chat', parsed.data, lines.join('\n'));
+    return toGenerateRequest('chat', parsed.data, lines.join('\n'));
   }
   const call = /^\/v1\/services\/([^/]+)\/([^/]+)$/.exec(path);
   if (call !== null) {
@@ -72,7 +73,7 @@
   return {error: `unknown path ${path}`};
 }
 
-function toGenerate(
+function toGenerateRequest(
   api: 'completion' | 'chat',
   body: z.output<typeof GenerateSchema>,
   prompt: string,
--- a/packages/gate/src/api/responses.ts
+++ b/packages/gate/src/api/responses.ts
@@ -1,10 +1,10 @@
 /**
- * Response bodies in the OpenAI style, and the typed error body every
- * refusal and failure uses.
+ * Renders response bodies in the OpenAI format, and the typed error body of
+ * every refusal and failure.
  */
 import type {CallerRequest} from './requests.js';
 
-/** Types of error a caller may see. */
+/** Error types in answers to callers. */
 export type CallerErrorType =
   | 'unauthorized'
   | 'forbidden'
@@ -16,7 +16,7 @@
   | 'shutting_down';
 
 /**
- * Builds the JSON error body.
+ * Renders the JSON error body.
  *
  * @example
  * renderError('not_run', 'no_target', 'gate-1-7'); // {error: {type: 'not_run', ...}}
@@ -30,7 +30,7 @@
 }
 
 /**
- * Builds a whole (non-streamed) completion body.
+ * Renders the body of a non-streamed completion.
  *
  * @example
  * renderCompletion(request, 'gate-1-7', ' t0 t1', 2, 1000);
@@ -75,12 +75,12 @@
 }
 
 /**
- * Builds one streamed piece.
+ * Renders one chunk of a streamed completion.
  *
  * @example
- * renderStreamPiece(request, 'gate-1-7', ' t0');
+ * renderStreamChunk(request, 'gate-1-7', ' t0');
  */
-export function renderStreamPiece(
+export function renderStreamChunk(
   request: CallerRequest,
   requestId: string,
   text: string,
--- a/packages/gate/src/api/results.ts
+++ b/packages/gate/src/api/results.ts
@@ -1,6 +1,6 @@
 /**
- * Final answers to callers: refusals, results and failures. A request that
- * was given up on is answered at once with Retry-After, never held back.
+ * Sends final answers to callers: refusals, results and failures. A request
+ * that did not run is answered at once with Retry-After instead of being held.
  */
 import {sendJson, startSse, writeSse} from '@nutmeggauge/core';
 import {renderCompletion, renderError} from './responses.js';
@@ -9,17 +9,17 @@
 import type {DispatchResult} from '../dispatch/dispatcher.js';
 import type {CallerRequest} from './requests.js';
 
-/** When a caller whose request ran out of time unrun may come back, in ms. */
+/** Retry-After for a request whose deadline passed before it ran, in ms. */
 const RETRY_AFTER_MS = 1000;
 
-/** An answer that did not stream. */
+/** The collected text and the prompt length of a non-streamed answer. */
 export interface CollectedAnswer {
   readonly text: string;
   readonly promptTokens: number;
 }
 
 /**
- * Renders a Retry-After header, in whole seconds, at least 1.
+ * Renders a Retry-After header in whole seconds, rounded up, at least 1.
  *
  * @example
  * toRetryAfter(1500); // {'retry-after': '2'}
@@ -49,7 +49,7 @@
 }
 
 /**
- * Answers an admitted request with what became of it.
+ * Answers an admitted request with the result of its dispatch.
  *
  * @example
  * sendResult(res, request, 'gate-1-7', result, {text: '', promptTokens: 10});
@@ -97,8 +97,8 @@
     sendJson(res, status, body, headers);
     return;
   }
-  // The stream already started: the failure goes in-band, and the missing
-  // [DONE] tells the caller the answer is not whole.
+  // The stream has started, so the failure is sent as an SSE event. The missing
+  // [DONE] tells the caller that the answer is incomplete.
   writeSse(res, body, 'error');
   res.end();
 }
--- a/packages/gate/src/api/serve-admitted.ts
+++ b/packages/gate/src/api/serve-admitted.ts
@@ -1,6 +1,6 @@
 /**
- * The way of one admitted request: its facts, the check against its
- * deadline, the dispatch, and the answer.
+ * Serves one admitted request: reads its idempotency and deadline, checks the
+ * deadline against the estimate, dispatches the request, and sends the answer.
  */
 import {
   CLOCK_SKEW_MS,
@@ -15,7 +15,7 @@
 import {estimateFinishMs} from '../admission/estimate.js';
 import {hashPrefixes} from '../routing/prefix-memory.js';
 import {createChunkStream} from '../streaming/reassembly.js';
-import {renderError, renderStreamPiece} from './responses.js';
+import {renderError, renderStreamChunk} from './responses.js';
 import {sendRefusal, sendResult} from './results.js';
 import type {IncomingHttpHeaders, ServerResponse} from 'node:http';
 import type {Account, ConfigRecord} from '@nutmeggauge/core';
@@ -25,7 +25,7 @@
 import type {HandlerContext} from './handler-context.js';
 import type {CallerRequest} from './requests.js';
 
-/** An authenticated request within its account's limits. */
+/** An authenticated request within the limits of its client account. */
 export interface AdmittedRequest {
   readonly requestId: string;
   readonly record: ConfigRecord;
@@ -34,8 +34,11 @@
   readonly request: CallerRequest;
 }
 
-/** What the caller's headers say of repeats. */
-interface RepeatFacts {
+/**
+ * Whether a request may be repeated, and the ledger key that detects
+ * duplicates.
+ */
+interface Idempotency {
   readonly notRepeatable: boolean;
   readonly keyed: boolean;
   readonly ledgerKey?: string;
@@ -43,7 +46,7 @@
 }
 
 /**
- * Serves an admitted request to its final answer.
+ * Serves an admitted request and sends its final answer.
  *
  * @example
  * await serveAdmitted(context, res, {requestId, record, account, headers: req.headers, request});
@@ -55,10 +58,10 @@
 ): Promise<void> {
   const {requestId, request} = admitted;
   const startedAt = Date.now();
-  const repeat = readRepeatFacts(admitted);
-  if ((repeat.keyMintedAt ?? 0) > startedAt + CLOCK_SKEW_MS) {
-    // A key dated ahead would pass for one that a restarted agent's ledger must
-    // know.
+  const idempotency = readIdempotency(admitted);
+  if ((idempotency.keyMintedAt ?? 0) > startedAt + CLOCK_SKEW_MS) {
+    // A restarted agent assumes that its ledger contains every key minted after
+    // the restart. A key with a future timestamp would falsely count as one.
     sendJson(
       res,
       400,
@@ -85,20 +88,24 @@
     if (!res.writableFinished) abort.abort();
   });
   const chunks = createChunkStream();
-  const pieces: string[] = [];
-  let hasPiece = false;
-  const observed = chunks.observe(text => {
-    if (!hasPiece) context.ttft.recordMs(Date.now() - startedAt);
-    hasPiece = true;
+  const texts: string[] = [];
+  let hasFirstChunk = false;
+  const streamEnd = chunks.observe(text => {
+    if (!hasFirstChunk) context.ttft.recordMs(Date.now() - startedAt);
+    hasFirstChunk = true;
     if (!request.stream) {
-      pieces.push(text);
+      texts.push(text);
       return;
     }
     if (!res.headersSent) startSse(res);
-    writeSse(res, renderStreamPiece(request, requestId, text));
+    writeSse(res, renderStreamChunk(request, requestId, text));
   });
   const job: DispatchJob = {
-    request: buildDispatch(admitted, repeat, startedAt + deadlineMs),
+    request: buildDispatchRequest(
+      admitted,
+      idempotency,
+      startedAt + deadlineMs,
+    ),
     route,
     resumable: findPool(admitted)?.resumable ?? false,
     chunks,
@@ -106,10 +113,10 @@
   };
   const result = await context.dispatcher.run(job);
   chunks.end();
-  await observed;
+  await streamEnd;
   context.counters.add(`api.result.${result.status}`);
   sendResult(res, request, requestId, result, {
-    text: pieces.join(''),
+    text: texts.join(''),
     promptTokens: route.promptTokens,
   });
 }
@@ -119,11 +126,13 @@
 }
 
 function readDeadlineMs({headers, account}: AdmittedRequest): number {
-  const asked = Number(headers['x-deadline-ms']);
-  return Number.isInteger(asked) && asked > 0 ? asked : account.deadlineMs;
+  const requestedMs = Number(headers['x-deadline-ms']);
+  return Number.isInteger(requestedMs) && requestedMs > 0
+    ? requestedMs
+    : account.deadlineMs;
 }
 
-function readRepeatFacts(admitted: AdmittedRequest): RepeatFacts {
+function readIdempotency(admitted: AdmittedRequest): Idempotency {
   const {record, account, request, requestId, headers} = admitted;
   const header = headers['idempotency-key'];
   const key = typeof header === 'string' && header !== '' ? header : undefined;
@@ -143,7 +152,10 @@
   };
 }
 
-/** Refuses what no usable target can finish in time. */
+/**
+ * Returns a refusal if no usable target can finish the request before its
+ * deadline.
+ */
 function checkDeadline(
   context: HandlerContext,
   pool: string,
@@ -154,20 +166,20 @@
   if (candidates.length === 0)
     return {status: 503, reason: 'no_target', retryAfterMs: 1000};
   if (!context.figures.refusesLate) return undefined;
-  const bestMs = Math.min(
+  const shortestMs = Math.min(
     ...candidates.map(c => estimateFinishMs(c, route, context.figures)),
   );
-  if (bestMs <= deadlineMs) return undefined;
+  if (shortestMs <= deadlineMs) return undefined;
   return {
     status: 503,
     reason: 'deadline_unreachable',
-    retryAfterMs: bestMs - deadlineMs,
+    retryAfterMs: shortestMs - deadlineMs,
   };
 }
 
-function buildDispatch(
+function buildDispatchRequest(
   admitted: AdmittedRequest,
-  repeat: RepeatFacts,
+  idempotency: Idempotency,
   deadlineAt: number,
 ): DispatchJob['request'] {
   const {requestId, record, account, request} = admitted;
@@ -182,6 +194,6 @@
     args: request.args,
     deadlineAt,
     recordVersion: record.version,
-    ...repeat,
+    ...idempotency,
   };
 }
--- a/packages/gate/src/bin.ts
+++ b/packages/gate/src/bin.ts
@@ -1,7 +1,8 @@
 #!/usr/bin/env node
 /**
- * `nutmeggauge-gate --config gate.yaml`: runs the gate on an entry host.
- * SIGTERM stops accepting, finishes requests in flight, and exits 0.
+ * `nutmeggauge-gate --config gate.yaml`: runs the gate on an entry host. On
+ * SIGTERM, the gate drains: it stops accepting requests, finishes those in
+ * flight, and exits with code 0.
  */
 import {runDaemon} from '@nutmeggauge/core';
 import {createGate} from './gate.js';
--- a/packages/gate/src/gate.ts
+++ b/packages/gate/src/gate.ts
@@ -1,6 +1,6 @@
 /**
- * The gate: the process on each entry host. It owns the HTTP listener,
- * the configuration watcher, the membership view and the dispatcher.
+ * The gate runs as one process on each entry host. It owns the HTTP listener,
+ * the configuration watcher, the membership and the dispatcher.
  */
 import {createServer} from 'node:http';
 import {
@@ -32,14 +32,14 @@
 import type {HandlerContext} from './api/handler-context.js';
 import type {GateSettings} from './settings.js';
 
-/** How often a drain looks whether the last request has ended, in ms. */
+/** Interval at which a drain checks for open requests, in ms. */
 const DRAIN_POLL_MS = 20;
 
-/** What a drain may take past its own bounds, in ms: a busy host's timers. */
+/** Margin on the maximum drain time for late timers on a busy host, in ms. */
 const DRAIN_SLACK_MS = 2000;
 
 /**
- * One gate process's state and tasks.
+ * Holds the state of one gate process and runs its services.
  *
  * @example
  * const gate = createGate(settings);
@@ -118,22 +118,22 @@
           });
   }
 
-  /** The bound port, once started. */
+  /** The bound port, after `start`. */
   get port(): number {
     return readPort(this.server);
   }
 
-  /** Port of the administration API; 0 when there is none. */
+  /** Port of the administration API; 0 when it is not configured. */
   get adminPort(): number {
     return this.admin?.port ?? 0;
   }
 
-  /** Port on which other gates ask for records; 0 when there is no relay. */
+  /** Port on which other gates query records; 0 when no relay is configured. */
   get relayPort(): number {
     return this.relay?.port ?? 0;
   }
 
-  /** Starts watching configuration and listening for callers. */
+  /** Starts watching the configuration and listening for callers. */
   async start(): Promise<void> {
     this.watcher.start();
     this.membership.start();
@@ -152,17 +152,17 @@
   }
 
   /**
-   * Graceful shutdown: say "draining" on `/healthz` while still serving, so
-   * that the balancer stops sending first; then answer what has arrived, stop
-   * accepting, finish every request in flight (at most `drainTimeoutMs`), and
-   * stop the tasks.
+   * Shuts down gracefully. Reports "draining" on `/healthz` while still serving,
+   * so that the load balancer stops sending first. Then reads the requests that
+   * have arrived, stops accepting, waits for requests in flight (at most
+   * `drainTimeoutMs`), and closes the gate.
    */
   drain(): Promise<void> {
     this.draining ??= this.runDrain();
     return this.draining;
   }
 
-  /** Longest time that a drain takes, in ms. */
+  /** Maximum duration of a drain, in ms. */
   get drainLimitMs(): number {
     const {drainNoticeMs, drainTimeoutMs} = this.settings;
     return drainNoticeMs + drainTimeoutMs + DRAIN_SLACK_MS;
@@ -174,7 +174,7 @@
 
   private async runDrain(): Promise<void> {
     this.log.info('drain_started', {inFlight: this.requests.count});
-    this.requests.endConnections();
+    this.requests.closeConnectionsAfterAnswers();
     await waitMs(this.settings.drainNoticeMs);
     this.closed = true;
     await this.closeListener();
@@ -192,7 +192,7 @@
     this.server.closeIdleConnections();
   }
 
-  /** Stops every task at once. */
+  /** Stops all services and closes all connections at once. */
   close(): void {
     this.watcher.stop();
     this.membership.stop();
@@ -212,10 +212,10 @@
   }
 
   private serve(req: IncomingMessage, res: ServerResponse): void {
-    this.requests.observe(req, res);
+    this.requests.add(req, res);
     if (req.method === 'GET' && readPath(req) === '/healthz') {
-      // Callers reach this port: what the gate sees of the fleet stays on
-      // the administration API.
+      // Callers can reach this port, so details of targets and accounts are on
+      // the administration API only.
       sendJson(res, this.isDraining ? 503 : 200, {
         id: this.settings.id,
         draining: this.isDraining,
@@ -230,12 +230,14 @@
       return;
     }
     handleCallerRequest(this.context, req, res).catch((error: unknown) =>
-      this.endFailed(res, error),
+      this.answerFailure(res, error),
     );
   }
 
-  /** A fault in the serving of one request costs that request only. */
-  private endFailed(res: ServerResponse, error: unknown): void {
+  /**
+   * Answers a request whose handler failed; other requests are not affected.
+   */
+  private answerFailure(res: ServerResponse, error: unknown): void {
     this.counters.add('api.failed');
     this.log.error('request_failed', {reason: String(error)});
     if (res.headersSent) {
--- a/packages/gate/src/relay/peer-relay.ts
+++ b/packages/gate/src/relay/peer-relay.ts
@@ -1,7 +1,7 @@
 /**
- * Hands configuration records from gate to gate while the configuration service
- * is down or out of reach. Records are validated, and accepted only with a
- * higher version.
+ * Passes configuration records between gates, so that a gate gets new records
+ * while the configuration service is unreachable. A gate validates a record and
+ * accepts it only if its version is higher than the current one.
  */
 import {createServer} from 'node:net';
 import {
@@ -21,21 +21,21 @@
 
 /** Options of a peer relay. */
 export interface PeerRelayOptions {
-  /** Where other gates reach this one. */
+  /** Address on which other gates connect to this one. */
   readonly listen: ListenAddress;
   /** Relay addresses of other gates, `host:port`. */
   readonly peers: readonly string[];
-  /** Period between two questions to a peer, in ms. */
+  /** Interval between queries to each peer, in ms. */
   readonly periodMs: number;
   readonly watcher: ConfigWatcher;
   readonly counters: Counters;
 }
 
-/** Longest wait for a peer's answer, in ms. */
-const ANSWER_MS = 2000;
+/** Timeout for a peer's answer, in ms. */
+const CALL_TIMEOUT_MS = 2000;
 
 /**
- * A task that owns the links between this gate and its peers.
+ * Queries peer gates for newer configuration records and answers their queries.
  *
  * @example
  * const relay = new PeerRelay({listen, peers: ['10.0.1.4:7340'], periodMs: 2000, watcher, counters});
@@ -52,15 +52,18 @@
 
   constructor(private readonly options: PeerRelayOptions) {}
 
-  /** The bound port, once started. */
+  /** The bound port, after `start`. */
   get port(): number {
     return readPort(this.server);
   }
 
   async start(): Promise<void> {
     await openListener(this.server, this.options.listen);
-    this.askAll();
-    this.timer = setInterval(() => this.askAll(), this.options.periodMs);
+    this.fetchFromPeers();
+    this.timer = setInterval(
+      () => this.fetchFromPeers(),
+      this.options.periodMs,
+    );
   }
 
   stop(): void {
@@ -78,24 +81,28 @@
     link.handle(RpcMethod.record, () => watcher.current ?? null);
   }
 
-  private askAll(): void {
+  private fetchFromPeers(): void {
     for (const peer of this.options.peers) {
-      void this.ask(peer).catch(() =>
+      void this.fetchNewerRecord(peer).catch(() =>
         this.options.counters.add('relay.peer_failed'),
       );
     }
   }
 
-  private async ask(peer: string): Promise<void> {
+  private async fetchNewerRecord(peer: string): Promise<void> {
     const {watcher, counters} = this.options;
     const link = this.outgoing.get(peer) ?? (await this.openLink(peer));
     const version = await link.call<number>(
       RpcMethod.recordVersion,
       {},
-      ANSWER_MS,
+      CALL_TIMEOUT_MS,
     );
     if (version <= watcher.version) return;
-    const record = await link.call<unknown>(RpcMethod.record, {}, ANSWER_MS);
+    const record = await link.call<unknown>(
+      RpcMethod.record,
+      {},
+      CALL_TIMEOUT_MS,
+    );
     if (!watcher.offer(record)) return;
     counters.add('relay.records_taken');
     this.log.info('record_taken_from_peer', {peer, version});
--- a/packages/gate/src/settings.ts
+++ b/packages/gate/src/settings.ts
@@ -1,10 +1,10 @@
 /**
- * Settings of `nutmeggauge-gate`, read from YAML and checked by zod.
+ * Settings of `nutmeggauge-gate`, read from YAML and validated with zod.
  */
 import {isIPv4} from 'node:net';
 import {z} from 'zod';
 
-/** True for an address that only this host can reach. */
+/** Returns true for an address that only this host can reach. */
 function isLoopback(host: string): boolean {
   return isIPv4(host) && host.startsWith('127.');
 }
@@ -18,97 +18,107 @@
 ]);
 
 export const GateSettingsSchema = z.object({
-  /** Name of this gate in logs and request ids. */
+  /** Id of this gate in logs and request ids. */
   id: z.string().min(1),
   /** Availability zone of this entry host. */
   zone: z.string().min(1),
-  /** Where callers reach the HTTP API. */
+  /** Address on which the gate listens for callers. */
   listen: z.object({
     host: z.string().min(1).default('127.0.0.1'),
     port: z.number().int().min(0).max(65535),
   }),
   configService: z.object({
     url: z.url(),
-    /** How long one watch waits, in ms. */
+    /** Maximum wait of one long poll for a newer record, in ms. */
     waitMs: z.number().int().positive().default(25_000),
   }),
   /** The platform's host list; optional. */
   hostList: z
     .object({
       url: z.url(),
-      /** Period between reads, in ms. */
+      /** Interval between reads, in ms. */
       pollMs: z.number().int().positive().default(1000),
     })
     .optional(),
-  /** The administration API; absent means none. */
+  /** The administration API; disabled when absent. */
   admin: z
     .object({
       listen: z.object({
         host: z.string().min(1).default('127.0.0.1'),
         port: z.number().int().min(0).max(65535),
       }),
-      /** Bearer token; may be left out on loopback only. */
+      /** Bearer token; optional on a loopback address only. */
       token: z.string().min(16).optional(),
     })
     .refine(
       admin => admin.token !== undefined || isLoopback(admin.listen.host),
-      {path: ['token'], message: 'needed unless listen.host is 127.x.x.x'},
+      {path: ['token'], message: 'required unless listen.host is 127.x.x.x'},
     )
     .optional(),
-  /** Retries over all requests of this gate. */
+  /** Retry budget over all requests of this gate. */
   retryBudget: z
     .object({
-      /** Retries that each request earns. */
+      /** Retries added to the budget by each request. */
       ratio: z.number().min(0).max(1).default(0.2),
-      /** Retries that may be saved up. */
+      /** Maximum number of unused retries in the budget. */
       burst: z.number().min(0).default(50),
     })
     .prefault({}),
-  /** Exchange of records with other gates, for when the service is out of reach. */
+  /**
+   * Exchange of records with other gates while the configuration service is
+   * unreachable.
+   */
   relay: z
     .object({
-      /** Where other gates reach this one; an internal port. */
+      /** Address on which other gates connect to this one; an internal port. */
       listen: z.object({
         host: z.string().min(1).default('127.0.0.1'),
         port: z.number().int().min(0).max(65535),
       }),
       /** Relay addresses of some other gates, host:port. */
       peers: z.array(z.string().regex(/^[^:\s]+:\d{1,5}$/)).default([]),
-      /** Period between two questions to a peer, in ms. */
+      /** Interval between queries to each peer, in ms. */
       periodMs: z.number().int().positive().default(2000),
     })
     .optional(),
   routing: z
     .object({
       policy: RoutingPolicySchema.default('class-load'),
-      /** Most targets one request is tried on. */
+      /** Maximum number of targets that one request is sent to. */
       maxAttempts: z.number().int().positive().default(3),
-      /** Targets of each pool to keep links to; 0 for all. */
+      /** Number of targets of each pool to connect to; 0 for all. */
       subsetSize: z.number().int().min(0).default(0),
-      /** Age of an agent's last report past which it gets no work, in ms. */
+      /**
+       * Age of an agent's last load report above which it gets no requests, in
+       * ms.
+       */
       heartbeatStaleMs: z.number().int().positive().default(2500),
       /**
-       * Longest wait for an agent's receipt of a repeatable request before
-       * it is sent to another target, in ms.
+       * Timeout for an agent's ack of a repeatable request, in ms. The gate then
+       * sends the request to another target.
        */
       acceptTimeoutMs: z.number().int().positive().default(1000),
     })
     .prefault({}),
-  /** Figures of the engines, for the admission estimate. */
+  /** Engine speeds for the admission estimate. */
   estimate: z
     .object({
       prefillTokensPerSecond: z.number().positive().default(400_000),
       decodeStepMs: z.number().positive().default(8),
-      /** Refuses at once what no usable target can finish in its window. */
+      /**
+       * Refuses a request at once if no usable target can meet its deadline.
+       */
       refusesLate: z.boolean().default(true),
     })
     .prefault({}),
   /**
-   * How long a gate that was told to stop still takes requests while
-   * `/healthz` says 503, so that the balancer notices first, in ms.
+   * Time for which a draining gate still accepts requests while `/healthz`
+   * answers 503, in ms. It lets the load balancer stop sending first.
    */
   drainNoticeMs: z.number().int().min(0).default(3000),
-  /** Longest time a graceful shutdown waits for requests in flight, in ms. */
+  /**
+   * Maximum time that a graceful shutdown waits for requests in flight, in ms.
+   */
   drainTimeoutMs: z.number().int().positive().default(120_000),
 });
 
--- a/packages/gate/src/streaming/reassembly.test.ts
+++ b/packages/gate/src/streaming/reassembly.test.ts
@@ -3,10 +3,10 @@
 import fc from 'fast-check';
 import {createChunkStream} from './reassembly.js';
 
-// One seed, so that the suite gives the same verdict every time.
+// A fixed seed makes the property tests reproducible.
 fc.configureGlobal({seed: 20261202});
 
-async function readInOrder(
+async function readReleasedTexts(
   order: ReadonlyArray<{seq: number; text: string}>,
 ): Promise<string[]> {
   const stream = createChunkStream();
@@ -18,10 +18,10 @@
   return out;
 }
 
-describe('ordered reassembly', () => {
-  it('releases early chunks only once the gap before them fills', async () => {
+describe('ChunkStream', () => {
+  it('holds a chunk that arrives early until all chunks before it have arrived', async () => {
     expect(
-      await readInOrder([
+      await readReleasedTexts([
         {seq: 1, text: 'b'},
         {seq: 0, text: 'a'},
         {seq: 2, text: 'c'},
@@ -29,10 +29,10 @@
     ).toEqual(['a', 'b', 'c']);
   });
 
-  it('drops the copies a resumed stream sends again', async () => {
+  it('drops chunks that a resumed stream sends again', async () => {
     const first = [0, 1, 2].map(seq => ({seq, text: `p${seq}`}));
     const resumed = [0, 1, 2, 3, 4].map(seq => ({seq, text: `p${seq}`}));
-    expect(await readInOrder([...first, ...resumed])).toEqual([
+    expect(await readReleasedTexts([...first, ...resumed])).toEqual([
       'p0',
       'p1',
       'p2',
@@ -41,7 +41,7 @@
     ]);
   });
 
-  it('gives each piece once and in order, whatever the arrival order and copies (property)', async () => {
+  it('releases each chunk once and in order for any arrival order with duplicates (property)', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.integer({min: 1, max: 30}).chain(n =>
@@ -54,7 +54,7 @@
           ),
         ),
         async ([n, arrival]) => {
-          const out = await readInOrder(
+          const out = await readReleasedTexts(
             arrival.map(seq => ({seq, text: `t${seq}`})),
           );
           expect(out).toEqual([...Array(n).keys()].map(i => `t${i}`));
--- a/packages/gate/src/streaming/reassembly.ts
+++ b/packages/gate/src/streaming/reassembly.ts
@@ -1,6 +1,6 @@
 /**
- * Ordered reassembly of one request's chunks: early chunks are held, copies of
- * released ones dropped, so the caller gets each once and in order.
+ * Reassembles the chunks of one request in order. Chunks that arrive early are
+ * held and duplicates are dropped, so that the caller gets each chunk once.
  */
 import {EventEmitter} from 'node:events';
 import * as most from 'most';
@@ -12,10 +12,11 @@
 }
 
 /**
- * Advances the reorder state by one chunk and returns the texts now due.
+ * Advances the reorder state by one chunk and returns the texts that can now be
+ * released in order.
  *
  * @example
- * stepReorder({next: 0, held: new Map()}, {requestId: 'r', seq: 1, text: 'b'}); // nothing due yet
+ * stepReorder({next: 0, held: new Map()}, {requestId: 'r', seq: 1, text: 'b'}); // value: [], since chunk 0 is missing
  */
 export function stepReorder(
   state: ReorderState,
@@ -35,7 +36,7 @@
 }
 
 /**
- * The chunks of one request as a stream.
+ * Streams the chunks of one request in order.
  *
  * @example
  * const chunks = createChunkStream();
@@ -46,27 +47,33 @@
   private readonly events = new EventEmitter();
   private readonly released: string[] = [];
 
-  /** Pieces released in order so far; the next one has this number. */
+  /**
+   * Number of chunks released so far, which is the sequence number of the next
+   * chunk.
+   */
   get releasedCount(): number {
     return this.released.length;
   }
 
-  /** Text of the pieces released so far. */
+  /** Text of the chunks released so far. */
   get releasedText(): string {
     return this.released.join('');
   }
 
-  /** Offers one chunk, in any order. */
+  /** Adds one chunk; chunks may arrive in any order. */
   push(notice: ChunkNotice): void {
     this.events.emit('chunk', notice);
   }
 
-  /** Ends the stream; held chunks after a gap are not released. */
+  /** Ends the stream; chunks after a missing one are not released. */
   end(): void {
     this.events.emit('end', true);
   }
 
-  /** Runs `write` on each piece in order; resolves when the stream ends. */
+  /**
+   * Calls `write` with the text of each chunk in order; resolves when the
+   * stream ends.
+   */
   observe(write: (text: string) => void): Promise<void> {
     const ended = most.fromEvent<boolean>('end', this.events);
     return most
