--- a/packages/gate/src/admin/admin-api.ts
+++ b/packages/gate/src/admin/admin-api.ts
@@ -1,8 +1,8 @@
 /**
  * Administration API of a gate on a separate port. Shows the gate's targets,
  * client accounts, configuration record and metrics, and checks a record before
- * an operator publishes it. The API is read-only; operators change the system by
- * publishing records.
+ * an operator publishes it. The API is read-only: operators change the system
+ * by publishing records.
  */
 import {createServer} from 'node:http';
 import {
@@ -56,7 +56,8 @@
  */
 export class AdminApi {
   private readonly server = createServer((req, res) => {
-    // A failed request, for instance by a client that disconnects, gets no answer.
+    // A request that fails, for instance because the client disconnects, gets
+    // no answer.
     this.serve(req, res).catch(() => res.destroy());
   });
 
@@ -148,7 +149,8 @@
 }
 
 /**
- * Checks whether gates would accept a record; if not, returns the invalid keys.
+ * Checks whether gates would accept a record; if not, returns a reason that
+ * names every invalid key.
  */
 function checkRecord(raw: unknown): object {
   try {
--- a/packages/gate/src/gate.ts
+++ b/packages/gate/src/gate.ts
@@ -152,10 +152,10 @@
   }
 
   /**
-   * Shuts down gracefully. Reports "draining" on `/healthz` while still serving,
-   * so that the load balancer stops sending first. Then reads the requests that
-   * have arrived, stops accepting, waits for requests in flight (at most
-   * `drainTimeoutMs`), and closes the gate.
+   * Shuts down gracefully. Reports "draining" on `/healthz` while still
+   * serving, so that the load balancer stops sending first. Then answers the
+   * requests that have arrived, stops accepting, waits for requests in flight
+   * (at most `drainTimeoutMs`), and closes the gate.
    */
   drain(): Promise<void> {
     this.draining ??= this.runDrain();
--- a/packages/gate/src/membership/agent-connection.test.ts
+++ b/packages/gate/src/membership/agent-connection.test.ts
@@ -83,7 +83,7 @@
       link.handle('dispatch', params => {
         const {requestId} = params as {requestId: string};
         link.notify('accepted', {requestId});
-        // Blocks the event loop as a stopped process would: no reads, no timers.
+        // Blocks the event loop like a stopped process: no reads, no timers.
         const lock = new Int32Array(new SharedArrayBuffer(4));
         Atomics.wait(lock, 0, 0, SUSPENSION_MS);
         return {status: 'not-run', reason: 'test'};
@@ -117,7 +117,7 @@
     const dispatch = () =>
       connection.dispatch(request, () => undefined, bounds);
     try {
-      // Retries until the link is open, because dispatch sends nothing before.
+      // Retries until the link is open, because dispatch fails until then.
       for (let isOpen = false; !isOpen; await waitMs(5))
         isOpen = await dispatch().then(
           outcome => {
--- a/packages/gate/src/membership/agent-connection.ts
+++ b/packages/gate/src/membership/agent-connection.ts
@@ -80,14 +80,18 @@
 export class AgentConnection implements TargetLink {
   outstanding = 0;
   load: LoadReport | undefined;
-  /** Prompt tokens sent since the last load report, by length class. */
+  /**
+   * Prompt tokens sent since the last load report and thus missing from it, by
+   * length class.
+   */
   unreportedByClass = createClassCounts();
   /** True while the platform's host list gives this host's state as leaving. */
   leavingByHostList = false;
   /** Time of the last load report by the gate's clock, in epoch ms. */
   private lastReportAt = 0;
   /**
-   * Time since which the agent's record is older than the gate's, in epoch ms.
+   * Time when the agent's record was first seen to be older than the gate's, in
+   * epoch ms.
    */
   private staleRecordSince: number | undefined;
   private link: RpcLink | undefined;
@@ -182,7 +186,7 @@
       request,
       bounds.answerMs,
     );
-    // Prevents an unhandled rejection when the call fails after the ack timeout.
+    // Prevents an unhandled rejection if the call fails after the ack timeout.
     answer.catch(() => undefined);
     try {
       return await Promise.race([answer, ackWait.timedOut]);
@@ -206,8 +210,8 @@
       return {timedOut: new Promise(() => {}), markAccepted: () => {}};
     let timeout: ReadTimeout | undefined;
     const timedOut = new Promise<never>((_resolve, reject) => {
-      // After a suspension of the gate, pending acks are read before the timeout
-      // fires.
+      // After a suspension of the gate, ReadTimeout lets pending acks be read
+      // before it fires.
       timeout = new ReadTimeout(() => {
         // Marks the agent unusable until its next load report.
         this.lastReportAt = 0;
--- a/packages/gate/src/membership/membership.test.ts
+++ b/packages/gate/src/membership/membership.test.ts
@@ -25,8 +25,8 @@
 
 describe('Membership with a host list', () => {
   it('keeps the last leaving state when the host list answers with an error or an invalid body', async () => {
-    // Guards against reading an error answer as an empty host list, which clears
-    // the leaving state of every host.
+    // Guards against reading an error answer as an empty host list, which would
+    // clear the leaving state of every host.
     const leaving = {hosts: [{id: 'e1', state: 'leaving'}]};
     const invalidAnswers: ReadonlyArray<readonly [number, unknown]> = [
       [503, {error: 'down'}],
--- a/packages/gate/src/membership/subset.ts
+++ b/packages/gate/src/membership/subset.ts
@@ -6,7 +6,7 @@
 import {createHash} from 'node:crypto';
 
 /**
- * Picks the ids of `size` targets for `gateId`; returns all ids when `size` is 0.
+ * Picks the ids of `size` targets for `gateId`; returns all ids if `size` is 0.
  *
  * @example
  * pickSubset('gate-1', ['engine-1', 'engine-2', 'engine-3'], 2);
--- a/packages/gate/src/routing/load-routers.test.ts
+++ b/packages/gate/src/routing/load-routers.test.ts
@@ -36,7 +36,8 @@
   });
 
   it('counts prompt tokens that the gate sent since the last load report', () => {
-    // Guards against sending every request to one target between two load reports.
+    // Guards against sending every request to one target between two of its load
+    // reports.
     const withUnreportedTokens = createTarget(
       'sent',
       [0, 0, 0, 0],
--- a/packages/gate/src/routing/load-routers.ts
+++ b/packages/gate/src/routing/load-routers.ts
@@ -17,7 +17,7 @@
 
 /**
  * Returns the prompt tokens of one length class that are queued or in prefill
- * at the target, including those that this gate sent since the last load report.
+ * at the target, plus those that this gate sent since the last load report.
  */
 function countPendingTokens(target: TargetView, lengthClass: number): number {
   return (
@@ -161,7 +161,7 @@
 
 /**
  * Cost of each request at a target, in prompt tokens, because it lengthens the
- * decode steps of the other requests.
+ * engine steps of the other requests.
  */
 const ACTIVE_REQUEST_COST_TOKENS = 256;
 
--- a/packages/gate/src/settings.ts
+++ b/packages/gate/src/settings.ts
@@ -94,8 +94,8 @@
        */
       heartbeatStaleMs: z.number().int().positive().default(2500),
       /**
-       * Timeout for an agent's ack of a repeatable request, in ms. The gate then
-       * sends the request to another target.
+       * Timeout for an agent's ack of a repeatable request, in ms. After the
+       * timeout, the gate sends the request to another target.
        */
       acceptTimeoutMs: z.number().int().positive().default(1000),
     })
