--- a/packages/direct/src/health/engine-slowdowns.test.ts
+++ b/packages/direct/src/health/engine-slowdowns.test.ts
@@ -7,7 +7,7 @@
 import {EngineSlowdowns} from './engine-slowdowns.js';
 import type {EngineSlowdown} from './engine-slowdowns.js';
 
-function openSlowdowns(mine: readonly string[] = ['e1', 'e2']) {
+function createSlowdowns(assignedIds: readonly string[] = ['e1', 'e2']) {
   const reports = new FakeReports();
   const told: EngineSlowdown[] = [];
   let now = 0;
@@ -15,24 +15,24 @@
   const slowdowns = new EngineSlowdowns({
     reports,
     listEngines: () => ['e1', 'e2', 'e3'].map(id => buildTarget(id, 1)),
-    isMine: ({id}) => mine.includes(id),
+    isMine: ({id}) => assignedIds.includes(id),
     onSlowdown: slowdown => told.push(slowdown),
     log: createDecisionLog({proc: 'g', output, readWallMs: () => now}),
     readNow: () => now,
   });
   const runFor = async (ms: number) => {
     now += ms;
-    slowdowns.askAll();
+    slowdowns.askAssignedEngines();
     await new Promise(resolve => setImmediate(resolve));
   };
   return {reports, told, slowdowns, runFor};
 }
 
-describe('engine slowdowns', () => {
-  it('tell of an engine that is slow, and of its return', async () => {
-    // Guards against slow engines that delay every long prompt of which they
-    // prefill a shard.
-    const {reports, told, slowdowns, runFor} = openSlowdowns();
+describe('EngineSlowdowns', () => {
+  it('reports an engine that becomes slow, and its return to normal speed', async () => {
+    // Guards against an undetected slow engine, which delays every long prompt
+    // of which it prefills a shard.
+    const {reports, told, slowdowns, runFor} = createSlowdowns();
     reports.slowdowns.set('e1', 3.4);
     reports.slowdowns.set('e2', 1);
     await runFor(1000);
@@ -47,15 +47,15 @@
     ]);
   });
 
-  it('ask only those engines that no other gate asks', async () => {
-    const {reports, runFor} = openSlowdowns(['e2']);
+  it('polls only the engines that are assigned to this gate', async () => {
+    const {reports, runFor} = createSlowdowns(['e2']);
     await runFor(1000);
     expect(reports.asked).toEqual(['e2']);
   });
 
-  it('forget what nobody confirms', async () => {
-    // Guards against a report of a lost gate that excludes an engine for good.
-    const {slowdowns, runFor} = openSlowdowns();
+  it('resets a slowdown to 1 when no further report confirms it', async () => {
+    // Guards against a report of a failed gate that excludes an engine forever.
+    const {slowdowns, runFor} = createSlowdowns();
     slowdowns.apply({target: 'e3', slowdown: 5});
     await runFor(3000);
     expect(slowdowns.read('e3')).toEqual(5);
--- a/packages/direct/src/health/engine-slowdowns.ts
+++ b/packages/direct/src/health/engine-slowdowns.ts
@@ -1,114 +1,121 @@
 /**
- * Slowdown of each engine, as engines report it. A long prompt is as late as
- * its slowest engine.
+ * Slowdown of each engine, as reported by the engine. A long prompt is as late
+ * as the slowest engine that prefills one of its shards.
  *
- * Reports have a cost, so each engine is polled by one gate, which tells its
- * peers.
+ * Polling has a cost, so only one gate polls each engine and announces the
+ * slowdown to its peers.
  */
 import type {EngineReports} from '../ports.js';
 import type {DecisionLog} from '../observe/decision-log.js';
 import type {Target} from '../types.js';
 
-/** Time between two reports of an engine, in ms. */
-const REPORT_MS = 1000;
+/** Interval at which an engine is polled, in ms. */
+const POLL_INTERVAL_MS = 1000;
 
-/** Age past which a report is dropped, in ms: three periods. */
-const FORGET_MS = 3200;
+/** Age above which a report expires, in ms: three poll intervals. */
+const REPORT_TTL_MS = 3200;
 
-/** Slowdown from which an engine counts as slow. */
-const SLOW_FROM = 1.1;
+/** Slowdown from which an engine counts as slow; lower values count as 1. */
+const MIN_SLOWDOWN = 1.1;
 
-/** Slowdown of one engine; 1 is as configured, 3 takes three times as long. */
+/**
+ * Slowdown of one engine: 1 is configured speed, 3 takes three times as long.
+ */
 export interface EngineSlowdown {
   readonly target: string;
   readonly slowdown: number;
 }
 
-/** Dependencies of the slowdowns. */
+/** Dependencies of {@link EngineSlowdowns}. */
 export interface EngineSlowdownsOptions {
   readonly reports: EngineReports;
-  /** Engines that may be given work; none while there is no work. */
+  /** Lists the engines that may receive work; empty while there is no work. */
   readonly listEngines: () => readonly Target[];
-  /** Says whether this gate polls a target. */
+  /** Checks whether this gate is the one that polls a target. */
   readonly isMine: (target: Target) => boolean;
-  /** Called with each slowdown that changes. */
+  /** Called when the slowdown of an engine changes. */
   readonly onSlowdown: (slowdown: EngineSlowdown) => void;
   readonly log: DecisionLog;
   readonly readNow: () => number;
 }
 
-interface KnownSlowdown {
+interface ReportedSlowdown {
   readonly slowdown: number;
   readonly at: number;
 }
 
 /**
- * The slowdowns that one gate knows.
+ * Polls the engines assigned to one gate and keeps the slowdown of all engines.
  *
  * @example
  * slowdowns.start();
  * slowdowns.read('i-1'); // 3.4 for an engine that takes 3.4 times as long
  */
 export class EngineSlowdowns {
-  private readonly known = new Map<string, KnownSlowdown>();
+  private readonly reportByTarget = new Map<string, ReportedSlowdown>();
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: EngineSlowdownsOptions) {}
 
-  /** Starts polling. */
+  /** Starts to poll the assigned engines periodically. */
   start(): void {
-    this.timer = setInterval(() => this.askAll(), REPORT_MS);
+    this.timer = setInterval(() => this.askAssignedEngines(), POLL_INTERVAL_MS);
   }
 
-  /** Stops polling. */
+  /** Stops the periodic polling. */
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** Reads the slowdown of an engine; 1 if nothing is known. */
+  /** Reads the slowdown of an engine; 1 without an unexpired report. */
   read(target: string): number {
-    return this.known.get(target)?.slowdown ?? 1;
+    return this.reportByTarget.get(target)?.slowdown ?? 1;
   }
 
-  /** Lists the slow engines that this gate polls, for its peers. */
+  /** Lists the slow engines that this gate polls, to be sent to its peers. */
   listMine(): readonly EngineSlowdown[] {
-    // Finding the gate that polls an engine takes one hash for each gate.
-    if (this.known.size === 0) return [];
+    // Skips the filter below: finding the gate that polls an engine computes
+    // one hash per gate.
+    if (this.reportByTarget.size === 0) return [];
     return this.options
       .listEngines()
-      .filter(({id}) => this.known.has(id))
+      .filter(({id}) => this.reportByTarget.has(id))
       .filter(target => this.options.isMine(target))
       .map(({id}) => ({target: id, slowdown: this.read(id)}));
   }
 
-  /** Applies a report, of this gate or of a peer. */
+  /** Applies a slowdown that this gate polled or a peer announced. */
   apply({target, slowdown}: EngineSlowdown): void {
     const {log, onSlowdown, readNow} = this.options;
     const before = this.read(target);
-    const now = slowdown < SLOW_FROM ? 1 : slowdown;
-    if (now === 1) this.known.delete(target);
-    else this.known.set(target, {slowdown: now, at: readNow()});
-    if (now === before) return;
-    log.info('engine_slowdown', {target, slowdown: now, before});
-    onSlowdown({target, slowdown: now});
+    const effectiveSlowdown = slowdown < MIN_SLOWDOWN ? 1 : slowdown;
+    if (effectiveSlowdown === 1) this.reportByTarget.delete(target);
+    else
+      this.reportByTarget.set(target, {
+        slowdown: effectiveSlowdown,
+        at: readNow(),
+      });
+    if (effectiveSlowdown === before) return;
+    log.info('engine_slowdown', {target, slowdown: effectiveSlowdown, before});
+    onSlowdown({target, slowdown: effectiveSlowdown});
   }
 
-  /** Polls each engine that is assigned to this gate, and drops old reports. */
-  askAll(): void {
-    this.dropOld();
+  /** Polls the engines assigned to this gate and drops expired reports. */
+  askAssignedEngines(): void {
+    this.dropExpired();
     for (const target of this.options.listEngines())
-      if (this.options.isMine(target)) void this.ask(target);
+      if (this.options.isMine(target)) void this.askEngine(target);
   }
 
-  private async ask(target: Target): Promise<void> {
+  private async askEngine(target: Target): Promise<void> {
     const report = await this.options.reports.read(target);
     if (report === undefined) return;
     this.apply({target: target.id, slowdown: report.slowdown});
   }
 
-  private dropOld(): void {
-    const since = this.options.readNow() - FORGET_MS;
-    for (const [target, {at}] of this.known)
-      if (at < since) this.apply({target, slowdown: 1});
+  private dropExpired(): void {
+    const oldestAt = this.options.readNow() - REPORT_TTL_MS;
+    for (const [target, {at}] of this.reportByTarget)
+      if (at < oldestAt) this.apply({target, slowdown: 1});
   }
 }
--- a/packages/direct/src/health/target-health.ts
+++ b/packages/direct/src/health/target-health.ts
@@ -1,98 +1,100 @@
 /**
- * Passive health checks: consecutive failures suspend a target for a while, and
- * single requests then probe it. Active probes have a cost and may be wrong.
+ * Passive health checks: consecutive failures suspend a target temporarily;
+ * after that, its next requests serve as probes. Active probes are not used
+ * because they have a cost and may give wrong results.
  */
 
-/** Consecutive failures that suspend a target. */
+/** Consecutive failures after which a target is suspended. */
 const FAILURES_TO_SUSPEND = 2;
 
-/** First and longest suspension, in ms: doubled at each failed probe. */
+/** First and longest suspension, in ms; it doubles with each failed probe. */
 const SUSPEND_MIN_MS = 800;
 const SUSPEND_MAX_MS = 4000;
 
-/** Weight of the newest outcome in a target's failure share. */
+/** Weight of the newest outcome in the moving failure share of a target. */
 const FAILURE_WEIGHT = 0.15;
 
-/** Failure share from which other targets are preferred. */
-export const GREY_SHARE = 0.35;
+/** Failure share above which other targets are preferred. */
+export const DEGRADED_FAILURE_SHARE = 0.35;
 
-interface Record {
-  failuresInRow: number;
+interface HealthRecord {
+  consecutiveFailures: number;
   suspendedUntil: number;
   suspendMs: number;
   failureShare: number;
 }
 
 /**
- * Health of every target, as seen by this gate.
+ * Health of all targets, derived from the requests of this gate.
  *
  * @example
  * health.recordFailure('i-1', now, true);
  * health.isSuspended('i-1', now); // true
  */
 export class TargetHealth {
-  private readonly records = new Map<string, Record>();
-  private readonly heardAt = new Map<string, number>();
+  private readonly records = new Map<string, HealthRecord>();
+  private readonly lastBytesAt = new Map<string, number>();
 
-  /** Records a whole answer that is no failure of the target. */
+  /** Records a complete answer that does not count as a target failure. */
   recordSuccess(id: string): void {
     const record = this.records.get(id);
     if (record === undefined) return;
-    record.failuresInRow = 0;
+    record.consecutiveFailures = 0;
     record.suspendMs = SUSPEND_MIN_MS;
     record.suspendedUntil = 0;
     record.failureShare *= 1 - FAILURE_WEIGHT;
   }
 
   /**
-   * Records a failure.
+   * Records a failure of a target.
    *
-   * @param isDead - True if nothing answers at all: one such failure is
-   *   enough.
+   * @param isUnreachable - True if the target does not answer at all: a single
+   *   such failure suspends it.
    */
-  recordFailure(id: string, now: number, isDead: boolean): void {
+  recordFailure(id: string, now: number, isUnreachable: boolean): void {
     const record = this.readRecord(id);
-    record.failuresInRow++;
+    record.consecutiveFailures++;
     record.failureShare += (1 - record.failureShare) * FAILURE_WEIGHT;
-    if (!isDead && record.failuresInRow < FAILURES_TO_SUSPEND) return;
+    if (!isUnreachable && record.consecutiveFailures < FAILURES_TO_SUSPEND)
+      return;
     record.suspendedUntil = now + record.suspendMs;
     record.suspendMs = Math.min(SUSPEND_MAX_MS, record.suspendMs * 2);
   }
 
-  /** Records that bytes of an answer came from a target. */
+  /** Records that bytes of an answer were received from a target. */
   markHeard(id: string, now: number): void {
-    this.heardAt.set(id, now);
+    this.lastBytesAt.set(id, now);
   }
 
   /**
-   * True when a target sent bytes after `since`, to any request: it is busy,
-   * not dead, and another attempt would only add load.
+   * Checks whether a target has sent bytes of any answer after `since`. Such a
+   * target is busy rather than failed, and a retry would only add load.
    */
   isHeardSince(id: string, since: number): boolean {
-    return (this.heardAt.get(id) ?? -Infinity) > since;
+    return (this.lastBytesAt.get(id) ?? -Infinity) > since;
   }
 
-  /** True while a target is suspended. */
+  /** Checks whether a target is suspended at `now`. */
   isSuspended(id: string, now: number): boolean {
     return (this.records.get(id)?.suspendedUntil ?? 0) > now;
   }
 
-  /** Recent share of failures, 0 to 1. */
+  /** Reads the recent share of failed requests of a target, 0 to 1. */
   readFailureShare(id: string): number {
     return this.records.get(id)?.failureShare ?? 0;
   }
 
-  /** Forgets a target that has left. */
+  /** Drops the state of a target that was removed. */
   drop(id: string): void {
     this.records.delete(id);
-    this.heardAt.delete(id);
+    this.lastBytesAt.delete(id);
   }
 
-  private readRecord(id: string): Record {
+  private readRecord(id: string): HealthRecord {
     let record = this.records.get(id);
     if (record === undefined) {
       record = {
-        failuresInRow: 0,
+        consecutiveFailures: 0,
         suspendedUntil: 0,
         suspendMs: SUSPEND_MIN_MS,
         failureShare: 0,
@@ -104,7 +106,7 @@
 }
 
 /**
- * Creates health records.
+ * Creates health state without any recorded target.
  *
  * @example
  * const health = createTargetHealth();
--- a/packages/direct/src/placement/choose-send-time.test.ts
+++ b/packages/direct/src/placement/choose-send-time.test.ts
@@ -40,21 +40,21 @@
   return chooseSendTime(candidates, demand, ENGINE, now);
 }
 
-interface Play {
+interface BurstResult {
   /** Time to first token of each prompt, as a share of its objective. */
   readonly shares: readonly number[];
   readonly deferredMs: number;
 }
 
 /**
- * Simulates prompts that arrive `everyMs` apart, each sent at the time chosen
- * for it, or at once.
+ * Simulates prompts that arrive `everyMs` apart. Each is sent at the chosen
+ * time, or at once if deferral is not allowed.
  */
 function runBurst(
   sizes: readonly number[],
   everyMs: number,
-  mayWait: boolean,
-): Play {
+  isDeferralAllowed: boolean,
+): BurstResult {
   const tracker = createLoadTracker(() => ENGINE);
   const pending = sizes.map((tokens, i) => ({tokens, at: i * everyMs, i}));
   const open = new Map<string, number>();
@@ -81,7 +81,7 @@
       const demand = buildDemand(prompt.tokens, now - prompt.at);
       const timed = choose(tracker, demand, now);
       if (timed === undefined) continue;
-      if (mayWait && timed.waitMs > 0) {
+      if (isDeferralAllowed && timed.waitMs > 0) {
         deferredMs += 20;
         continue;
       }
@@ -94,17 +94,17 @@
   return {shares, deferredMs};
 }
 
-describe('send time of a long prompt', () => {
-  it('is now where engines are idle', () => {
+describe('chooseSendTime', () => {
+  it('splits a long prompt and sends it at once when all engines are idle', () => {
     const tracker = createLoadTracker(() => ENGINE);
     const timed = choose(tracker, buildDemand(150_000, 0), 0);
     expect(timed?.waitMs).toEqual(0);
     expect((timed?.choice.shards.length ?? 0) > 3).toEqual(true);
   });
 
-  it('is later where it would delay a prompt that is about to finish prefill', () => {
-    // Guards against a huge prompt that delays one which is about to finish
-    // prefill.
+  it('defers a prompt that would delay another one close to the end of prefill', () => {
+    // Guards against a huge prompt that preempts the last part of the prefill
+    // of an older prompt, which then misses its objective.
     const tracker = createLoadTracker(() => ENGINE);
     const older = buildDemand(230_000, 1700);
     const candidates = Array.from({length: ENGINES}, (_, i) => ({
@@ -120,15 +120,15 @@
     expect((timed?.waitMs ?? 0) > 0).toEqual(true);
   });
 
-  it('makes fewer prompts of a burst late than sending them at once', () => {
-    // Guards against a burst in which each prompt preempts those before it.
+  it('makes fewer prompts of a burst miss their objective than sending at once', () => {
+    // Guards against a burst in which each prompt preempts the earlier ones.
     const sizes = Array.from(
       {length: 24},
       (_, i) => 60_000 + ((i * 7) % 11) * 30_000,
     );
-    const countLate = ({shares}: Play) =>
+    const countLate = ({shares}: BurstResult) =>
       shares.filter(share => share > 1).length;
-    const sum = ({shares}: Play) => shares.reduce((a, b) => a + b, 0);
+    const sum = ({shares}: BurstResult) => shares.reduce((a, b) => a + b, 0);
     const deferred = runBurst(sizes, 400, true);
     const atOnce = runBurst(sizes, 400, false);
     expect(deferred.shares.length).toEqual(sizes.length);
@@ -137,8 +137,8 @@
     expect(sum(deferred) < sum(atOnce) * 0.85).toEqual(true);
   });
 
-  it('comes for every prompt, whatever the burst', () => {
-    // Guards against a prompt that is deferred until its caller leaves.
+  it('eventually sends every prompt of any burst', () => {
+    // Guards against a prompt that is deferred until its caller cancels.
     fc.assert(
       fc.property(
         fc.array(fc.integer({min: 1000, max: 400_000}), {
--- a/packages/direct/src/placement/choose-send-time.ts
+++ b/packages/direct/src/placement/choose-send-time.ts
@@ -1,6 +1,6 @@
 /**
  * Decides whether a long prompt is sent now or later. Engines prefill the
- * newest prompt first, so each one sent to busy engines delays those before it.
+ * newest prompt first, so a prompt sent to busy engines delays earlier prompts.
  */
 import {choosePromptEngines} from './place-prompt.js';
 import type {EngineFigures} from '../types.js';
@@ -9,30 +9,33 @@
 import type {PromptChoice, PromptDemand} from './prompt-types.js';
 
 /**
- * Delays that are compared with sending now, in ms: first some iterations
- * apart, then the time in which a long prompt finishes.
+ * Delays that are compared with sending now, in ms: from a few iterations up to
+ * the time in which a long prompt completes.
  */
 const DELAYS_MS = [120, 300, 700, 1500];
 
 /**
- * Loss that a delay must save, in the worth of a short stream: predictions
- * further ahead are less certain.
+ * Minimum cost that a delay must save, in units of the value of a short stream:
+ * predictions further ahead are less certain.
  */
 const MIN_SAVING = 0.2;
 
-/** Keeps the cost of a choice within the processor share of a small host. */
+/**
+ * Number of engines above which no delays are compared: limits the CPU time of
+ * a choice to what a small host can spare.
+ */
 const MAX_ENGINES_FOR_DELAYS = 32;
 
-/** A choice, and how long to wait before it is reconsidered. */
+/** Engines chosen for a prompt, and the delay before choosing again. */
 export interface TimedChoice {
   readonly choice: PromptChoice;
-  /** 0 when the prompt is to be sent now. */
+  /** Delay in ms; 0 if the prompt is to be sent now. */
   readonly waitMs: number;
 }
 
-/** The load in `delayMs` if no further prompts arrive. */
+/** Predicts the load in `delayMs` if no further prompts arrive. */
 function advanceLoad(load: EngineLoad, delayMs: number): EngineLoad {
-  const queued = load.queued.filter(({doneMs}) => doneMs > delayMs);
+  const queued = load.queued.filter(({shardDoneMs}) => shardDoneMs > delayMs);
   return {
     ...load,
     queued,
@@ -42,9 +45,10 @@
 }
 
 /**
- * Chooses engines and send time for a prompt.
+ * Chooses the engines and the send time for a prompt.
  *
- * @returns Nothing if the engines cannot hold the prompt now.
+ * @returns The choice, or undefined if the engines lack KV cache for the prompt
+ *   now.
  * @example
  * chooseSendTime(candidates, demand, figures, performance.now())?.waitMs;
  */
@@ -60,7 +64,7 @@
   if (candidates.length > MAX_ENGINES_FOR_DELAYS) return best;
   for (const delayMs of DELAYS_MS) {
     if (best.choice.cost < MIN_SAVING) break;
-    const later = choosePromptEngines(
+    const deferredChoice = choosePromptEngines(
       candidates.map(candidate => ({
         ...candidate,
         load: advanceLoad(candidate.load, delayMs),
@@ -69,9 +73,9 @@
       engine,
       now,
     );
-    if (later === undefined) continue;
-    if (later.cost < best.choice.cost - MIN_SAVING)
-      best = {choice: later, waitMs: delayMs};
+    if (deferredChoice === undefined) continue;
+    if (deferredChoice.cost < best.choice.cost - MIN_SAVING)
+      best = {choice: deferredChoice, waitMs: delayMs};
   }
   return best;
 }
--- a/packages/direct/src/placement/engine-iterations.test.ts
+++ b/packages/direct/src/placement/engine-iterations.test.ts
@@ -6,12 +6,12 @@
 import {EngineIterations} from './engine-iterations.js';
 import type {ShardWork} from './engine-iterations.js';
 
-function buildPart(ms: number, isOwn = false): ShardWork {
+function buildShard(ms: number, isOwn = false): ShardWork {
   return {ms, tokens: ms * 100, isOwn, isWhole: false};
 }
 
-/** Prefill ends of the queued shards, in whole ms. */
-function listEnds(
+/** Lists the prefill ends of the queued shards, rounded to ms. */
+function listRoundedEnds(
   iterations: EngineIterations,
   now: number,
 ): Record<string, number> {
@@ -19,34 +19,38 @@
   return Object.fromEntries(ends.map(([key, ms]) => [key, Math.round(ms)]));
 }
 
-describe('iterations of an engine that decodes nothing', () => {
-  it('prefill the newest shard first, own prompts included', () => {
-    // Guards against a shard that is forgotten when a newer one preempts it.
+describe('EngineIterations while no stream is decoded', () => {
+  it('prefills the newest shard first, also before prompts that it decodes', () => {
+    // Guards against dropping a shard when a newer one preempts it.
     const iterations = new EngineIterations(ENGINE);
-    iterations.addShard('old', buildPart(50), 0);
-    iterations.addShard('own', buildPart(100, true), 0);
-    iterations.addShard('new', buildPart(20), 0);
-    expect(listEnds(iterations, 0)).toEqual({new: 20, own: 120, old: 170});
+    iterations.addShard('old', buildShard(50), 0);
+    iterations.addShard('own', buildShard(100, true), 0);
+    iterations.addShard('new', buildShard(20), 0);
+    expect(listRoundedEnds(iterations, 0)).toEqual({
+      new: 20,
+      own: 120,
+      old: 170,
+    });
   });
 
-  it('resume an older shard after a newer one', () => {
+  it('resumes a preempted shard after the newer shard has completed', () => {
     const iterations = new EngineIterations(ENGINE);
-    iterations.addShard('old', buildPart(50), 0);
-    iterations.addShard('new', buildPart(100), 30);
-    expect(listEnds(iterations, 80).old).toEqual(70);
-    expect(listEnds(iterations, 151)).toEqual({});
+    iterations.addShard('old', buildShard(50), 0);
+    iterations.addShard('new', buildShard(100), 30);
+    expect(listRoundedEnds(iterations, 80).old).toEqual(70);
+    expect(listRoundedEnds(iterations, 151)).toEqual({});
   });
 
-  it('do not complete a shard that a long one preempted', () => {
-    // Guards against counting prefill that a preempted shard did not get.
+  it('does not advance a shard while a long newer shard preempts it', () => {
+    // Guards against counting prefill time that a preempted shard did not get.
     const iterations = new EngineIterations(ENGINE);
-    iterations.addShard('old', buildPart(300), 0);
-    iterations.addShard('long', buildPart(6000), 20);
+    iterations.addShard('old', buildShard(300), 0);
+    iterations.addShard('long', buildShard(6000), 20);
     iterations.removeShard('long', 3020);
-    expect(listEnds(iterations, 3020)).toEqual({old: 280});
+    expect(listRoundedEnds(iterations, 3020)).toEqual({old: 280});
   });
 
-  it('prefill as much as time passes, whatever is added and removed', () => {
+  it('reduces the queued prefill by the elapsed time for any added shards', () => {
     const shard = fc.record({
       work: fc.integer({min: 1, max: 500}),
       pause: fc.integer({min: 0, max: 400}),
@@ -58,7 +62,7 @@
         let now = 0;
         let expected = 0;
         for (const [i, {work, pause, isOwn}] of shards.entries()) {
-          iterations.addShard(`k${i}`, buildPart(work, isOwn), now);
+          iterations.addShard(`k${i}`, buildShard(work, isOwn), now);
           expected = Math.max(0, expected + work - pause);
           now += pause;
           const lastMs = Math.max(
@@ -71,33 +75,33 @@
     );
   });
 
-  it('take as much longer as the engine is slow', () => {
+  it('scales the remaining prefill time by the slowdown of the engine', () => {
     const iterations = new EngineIterations(ENGINE);
-    iterations.addShard('a', buildPart(300), 0);
+    iterations.addShard('a', buildShard(300), 0);
     iterations.setSlowdown(3, 100);
-    expect(listEnds(iterations, 100)).toEqual({a: 600});
-    expect(listEnds(iterations, 400)).toEqual({a: 300});
+    expect(listRoundedEnds(iterations, 100)).toEqual({a: 600});
+    expect(listRoundedEnds(iterations, 400)).toEqual({a: 300});
   });
 });
 
-describe('iterations of an engine that decodes', () => {
+describe('EngineIterations while streams are decoded', () => {
   const decodeMs = estimateDecodeMs(1, 2000, ENGINE);
 
   /**
-   * An engine that decodes one stream, half an iteration before the next one.
+   * Creates an engine that decodes one stream, halfway through an iteration.
    */
-  function openDecoding(): EngineIterations {
+  function createDecodingEngine(): EngineIterations {
     const iterations = new EngineIterations(ENGINE);
     iterations.addSequence('w', 2000, 0);
     return iterations;
   }
 
-  it('prefill one shard of another engine’s prompt each', () => {
-    const iterations = openDecoding();
-    iterations.addShard('old', buildPart(200), 0);
-    iterations.addShard('new', buildPart(100), 0);
+  it('prefills one shard per iteration of prompts that other engines decode', () => {
+    const iterations = createDecodingEngine();
+    iterations.addShard('old', buildShard(200), 0);
+    iterations.addShard('new', buildShard(100), 0);
     const newEnd = decodeMs / 2 + decodeMs + 100;
-    expect(listEnds(iterations, 0)).toEqual({
+    expect(listRoundedEnds(iterations, 0)).toEqual({
       new: Math.round(newEnd),
       old: Math.round(newEnd + decodeMs + 200),
     });
@@ -106,34 +110,34 @@
     ]);
   });
 
-  it('let nothing interrupt them', () => {
+  it('starts a new shard only after the running iteration has ended', () => {
     // Guards against predicting an immediate first token while a long iteration
-    // runs.
-    const iterations = openDecoding();
-    iterations.addShard('long', buildPart(900), 0);
-    const passEnd = decodeMs / 2 + decodeMs + 900;
+    // is running.
+    const iterations = createDecodingEngine();
+    iterations.addShard('long', buildShard(900), 0);
+    const iterationEnd = decodeMs / 2 + decodeMs + 900;
     iterations.listPrefillEnds(100);
-    iterations.addShard('short', buildPart(20, true), 100);
-    const ends = listEnds(iterations, 100);
-    expect(ends.long).toEqual(Math.round(passEnd - 100));
-    expect(ends.short).toEqual(Math.round(passEnd - 100 + decodeMs + 20));
-    expect(Math.round(iterations.countWaitMs(100))).toEqual(ends.long);
+    iterations.addShard('short', buildShard(20, true), 100);
+    const ends = listRoundedEnds(iterations, 100);
+    expect(ends.long).toEqual(Math.round(iterationEnd - 100));
+    expect(ends.short).toEqual(Math.round(iterationEnd - 100 + decodeMs + 20));
+    expect(Math.round(iterations.estimateStartDelayMs(100))).toEqual(ends.long);
   });
 
-  it('begin with the first prompt whose prefill ends', () => {
-    // Guards against treating an engine as idle between prefill and the first
-    // token.
+  it('starts long iterations once the prefill of a prompt it decodes has ended', () => {
+    // Guards against treating an engine as idle between the end of prefill and
+    // the first token.
     const iterations = new EngineIterations(ENGINE);
-    iterations.addShard('long', buildPart(400), 0);
+    iterations.addShard('long', buildShard(400), 0);
     const short = {ms: 30, tokens: 3000, isOwn: true, isWhole: true};
     iterations.addShard('short', short, 0);
-    const shortWriteMs = estimateDecodeMs(1, 3000, ENGINE);
-    expect(Math.round(iterations.countWaitMs(40))).toEqual(
-      Math.round(shortWriteMs + 400 - 10),
+    const shortDecodeMs = estimateDecodeMs(1, 3000, ENGINE);
+    expect(Math.round(iterations.estimateStartDelayMs(40))).toEqual(
+      Math.round(shortDecodeMs + 400 - 10),
     );
   });
 
-  it('are over for a prompt whose stream is decoded', () => {
+  it('lists no prefill end for prompts whose prefill has ended', () => {
     const iterations = new EngineIterations(ENGINE);
     const short = {ms: 6, tokens: 1000, isOwn: true, isWhole: true};
     iterations.addShard('a', short, 0);
@@ -142,8 +146,8 @@
     expect(iterations.listPrefillEnds(500).size).toEqual(0);
   });
 
-  it('split a shard that is longer than one iteration', () => {
-    const iterations = openDecoding();
+  it('splits a shard with more tokens than one iteration takes', () => {
+    const iterations = createDecodingEngine();
     const tokens = ENGINE.stepsPerIteration * ENGINE.chunkTokens * 1.5;
     iterations.addShard(
       'huge',
@@ -155,19 +159,20 @@
     ]);
   });
 
-  it('end for an engine whose bound on a step was lost', () => {
-    // Guards against an endless plan when the chunk size is missing.
+  it('plans one token per iteration if the configured chunk size is 0', () => {
+    // Guards against a plan that never ends because no iteration makes
+    // progress.
     const iterations = new EngineIterations({...ENGINE, chunkTokens: 0});
     iterations.addSequence('w', 2000, 0);
-    iterations.addShard('a', {...buildPart(10), tokens: 20}, 0);
+    iterations.addShard('a', {...buildShard(10), tokens: 20}, 0);
     expect(iterations.listIterationPrefills(0).length).toEqual(20);
     expect(iterations.listPrefillEnds(0).size).toEqual(1);
   });
 
-  it('end with the stream', () => {
-    const iterations = openDecoding();
+  it('prefills a shard at once after the last stream has ended', () => {
+    const iterations = createDecodingEngine();
     iterations.removeSequence('w', 10);
-    iterations.addShard('a', buildPart(100), 20);
-    expect(listEnds(iterations, 20)).toEqual({a: 100});
+    iterations.addShard('a', buildShard(100), 20);
+    expect(listRoundedEnds(iterations, 20)).toEqual({a: 100});
   });
 });
--- a/packages/direct/src/placement/engine-iterations.ts
+++ b/packages/direct/src/placement/engine-iterations.ts
@@ -1,24 +1,28 @@
 /**
- * Predicts the schedule of one engine from the prompts that were placed on it:
+ * Predicts the schedule of one engine from the shards placed on it:
  *
- * - The newest shard is prefilled first, whether its engine decodes the prompt
- *   or not.
- * - While it decodes, an engine runs long iterations that cannot be
- *   interrupted: its own prompts and one shard of another engine's prompt in
- *   each. Otherwise a new shard preempts the others at once.
- * - The first token leaves with the iteration that ends the prefill.
+ * - The newest shard is prefilled first, whether or not this engine also
+ *   decodes that prompt.
+ * - While an engine decodes sequences, it runs long iterations that cannot be
+ *   interrupted. Each prefills prompts that this engine decodes, and at most
+ *   one shard of a prompt that another engine decodes.
+ * - While an engine decodes nothing, a new shard preempts queued ones at once.
+ * - The first token is sent with the iteration that completes the prefill.
  */
 import {estimateDecodeMs} from './engine-model.js';
 import type {EngineFigures} from '../types.js';
 
-/** The shard of a prompt that one engine prefills. */
+/** Shard of a prompt, to be prefilled by one engine. */
 export interface ShardWork {
-  /** Prefill time with no other work, in ms. */
+  /** Prefill time on an otherwise idle engine, in ms. */
   readonly ms: number;
   readonly tokens: number;
-  /** True when this engine also decodes the answer. */
+  /** True if this engine also decodes the answer. */
   readonly isOwn: boolean;
-  /** True when no other engine has a shard: decoding follows at once. */
+  /**
+   * True if this shard is the whole prompt, so that decoding starts as soon as
+   * the shard is prefilled.
+   */
   readonly isWhole: boolean;
 }
 
@@ -31,64 +35,69 @@
   leftTokens: number;
 }
 
-/** Tokens below which only a rounding error is left. */
-const LEAST_TOKENS = 1e-6;
+/** Tokens left below which a shard counts as complete (rounding error). */
+const TOKEN_EPSILON = 1e-6;
 
-/** Prefill work of one iteration. */
+/** Planned prefill work of one iteration. */
 interface IterationPlan {
   readonly prefillMs: number;
-  /** Shards that it completes. */
+  /** Shards whose prefill this iteration completes. */
   readonly ended: readonly QueuedShard[];
 }
 
-/** Advances a shard by at most `mostTokens`; returns the time taken, in ms. */
-function advanceShard(shard: QueuedShard, mostTokens: number): number {
-  const tokens = Math.min(shard.leftTokens, mostTokens);
+/**
+ * Advances the prefill of a shard by at most `tokenLimit` tokens.
+ *
+ * @returns The time taken at configured speed, in ms.
+ */
+function advanceShard(shard: QueuedShard, tokenLimit: number): number {
+  const tokens = Math.min(shard.leftTokens, tokenLimit);
   shard.leftTokens -= tokens;
   return tokens * shard.msPerToken;
 }
 
 /**
- * The iterations of one engine. Time is passed in by the owner.
+ * Simulates the iterations of one engine. Callers pass in the current time.
  *
  * @example
  * iterations.addShard('gate#7', {ms: 350, tokens: 38_000, isOwn: false}, now);
  * iterations.listPrefillEnds(now).get('gate#7'); // 350 on an idle engine
  */
 export class EngineIterations {
-  /** Newest first. */
+  /** Shards with prefill work left, newest first. */
   private shards: QueuedShard[] = [];
-  /** Shards that the iteration under way completes. */
-  private ending: readonly QueuedShard[] = [];
-  /** Context of each sequence that is decoded, in tokens. */
+  /** Shards whose prefill the running iteration completes. */
+  private completingShards: readonly QueuedShard[] = [];
+  /** Context length of each decoded sequence by its key, in tokens. */
   private readonly sequences = new Map<string, number>();
   private contextTokens = 0;
   /**
-   * End of the iteration under way; without decoding, the time simulated up to.
+   * End of the running iteration, in ms; while nothing is decoded, the time up
+   * to which the engine has been simulated.
    */
   private iterationEndsAt = -Infinity;
-  private ends: ReadonlyMap<string, number> | undefined;
+  private prefillEnds: ReadonlyMap<string, number> | undefined;
 
-  /** @param slowdown - 3 takes three times as long as configured. */
+  /** @param slowdown - Factor on all configured times; 3 triples them. */
   constructor(
     private readonly engine: EngineFigures,
     private slowdown = 1,
   ) {}
 
-  /** Sets the engine's slowdown from now on. */
+  /** Sets the slowdown of the engine from `now` on. */
   setSlowdown(slowdown: number, now: number): void {
     this.advance(now);
-    this.ends = undefined;
+    this.prefillEnds = undefined;
     this.slowdown = slowdown;
   }
 
-  /** Adds a shard; it preempts those that are queued. */
+  /** Adds a shard, which preempts the queued shards. */
   addShard(key: string, work: ShardWork, now: number): void {
     this.advance(now);
-    this.ends = undefined;
+    this.prefillEnds = undefined;
     if (work.tokens <= 0) return;
-    // Iterations that only decode are not tracked: on average half of one is
-    // left.
+    // Iterations that only decode are not tracked; on average, half of the
+    // running one remains.
     if (this.iterationEndsAt <= now)
       this.iterationEndsAt = now + this.decodeMs / 2;
     this.shards.unshift({
@@ -101,63 +110,68 @@
     });
   }
 
-  /** Removes a shard that was cancelled or is known to be complete. */
+  /** Removes a shard that was cancelled or whose prefill has completed. */
   removeShard(key: string, now: number): void {
     this.advance(now);
-    this.ends = undefined;
+    this.prefillEnds = undefined;
     this.shards = this.shards.filter(shard => shard.key !== key);
-    this.ending = this.ending.filter(shard => shard.key !== key);
+    this.completingShards = this.completingShards.filter(
+      shard => shard.key !== key,
+    );
   }
 
-  /** Adds a sequence that is decoded from now on. */
+  /** Adds a sequence that the engine decodes from `now` on. */
   addSequence(key: string, contextTokens: number, now: number): void {
     if (this.sequences.has(key)) return;
     this.advance(now);
-    this.ends = undefined;
+    this.prefillEnds = undefined;
     this.sequences.set(key, contextTokens);
     this.contextTokens += contextTokens;
   }
 
-  /** Removes a sequence that has ended. */
+  /** Removes a sequence whose decoding has ended. */
   removeSequence(key: string, now: number): void {
     const contextTokens = this.sequences.get(key);
     if (contextTokens === undefined) return;
     this.advance(now);
-    this.ends = undefined;
+    this.prefillEnds = undefined;
     this.sequences.delete(key);
     this.contextTokens -= contextTokens;
   }
 
   /**
-   * Time until the iteration under way ends, in ms; 0 if a shard can start at
-   * once.
+   * Estimates the time until a new shard can start, in ms: the rest of the
+   * running iteration, or 0 if the shard can start at once.
    */
-  countWaitMs(now: number): number {
+  estimateStartDelayMs(now: number): number {
     this.advance(now);
     return this.iterationEndsAt > now
       ? this.iterationEndsAt - now
       : this.decodeMs / 2;
   }
 
-  /** Time from `now` until the prefill of each queued shard ends, in ms. */
+  /**
+   * Lists the time from `now` until the prefill of each queued shard ends, by
+   * shard key, in ms.
+   */
   listPrefillEnds(now: number): ReadonlyMap<string, number> {
     this.advance(now);
-    this.ends ??= this.planEnds();
-    if (this.ends.size === 0) return this.ends;
-    return new Map([...this.ends].map(([key, at]) => [key, at - now]));
+    this.prefillEnds ??= this.planPrefillEnds();
+    if (this.prefillEnds.size === 0) return this.prefillEnds;
+    return new Map([...this.prefillEnds].map(([key, at]) => [key, at - now]));
   }
 
   /**
-   * Lists the prefill time of each coming iteration while the engine decodes,
-   * in ms: what its streams see as inter-token latency.
+   * Lists the prefill time of each coming iteration, in ms. Streams decoded by
+   * the engine see this time as part of their inter-token latency.
    */
   listIterationPrefills(now: number): readonly number[] {
     this.advance(now);
     const shards = this.shards.map(shard => ({...shard}));
-    const reads: number[] = [];
+    const prefillsMs: number[] = [];
     while (shards.some(shard => shard.leftTokens > 0))
-      reads.push(this.planIteration(shards).prefillMs);
-    return reads;
+      prefillsMs.push(this.planIteration(shards).prefillMs);
+    return prefillsMs;
   }
 
   private get decodeMs(): number {
@@ -171,29 +185,35 @@
     return this.sequences.size > 0;
   }
 
-  /** When the prefill of each shard ends, on the clock. */
-  private planEnds(): ReadonlyMap<string, number> {
-    const ends = new Map<string, number>();
+  /**
+   * Plans when the prefill of each shard ends, by shard key, as a timestamp on
+   * the clock of `now`.
+   */
+  private planPrefillEnds(): ReadonlyMap<string, number> {
+    const endByKey = new Map<string, number>();
     let at = this.iterationEndsAt;
-    for (const {key} of this.ending) ends.set(key, at);
+    for (const {key} of this.completingShards) endByKey.set(key, at);
     const shards = this.shards.map(shard => ({...shard}));
     while (!this.isDecoding && shards.length > 0) {
       const [shard] = shards.splice(0, 1);
       at += advanceShard(shard, Infinity) * this.slowdown;
-      ends.set(shard.key, at);
+      endByKey.set(shard.key, at);
     }
     while (shards.some(shard => shard.leftTokens > 0)) {
       const {prefillMs, ended} = this.planIteration(shards);
       at += this.decodeMs + prefillMs;
-      for (const {key} of ended) ends.set(key, at);
+      for (const {key} of ended) endByKey.set(key, at);
     }
-    return ends;
+    return endByKey;
   }
 
-  /** Plans the prefill of one iteration, newest shard first. */
+  /**
+   * Plans the prefill of one iteration, newest shard first, and advances the
+   * given shards by it.
+   */
   private planIteration(shards: readonly QueuedShard[]): IterationPlan {
-    // Every iteration must make progress, or planning would not terminate.
-    let mostTokens = Math.max(
+    // Each iteration prefills at least one token, so that planning terminates.
+    let tokenBudget = Math.max(
       1,
       this.engine.stepsPerIteration * this.engine.chunkTokens,
     );
@@ -201,22 +221,22 @@
     const ended: QueuedShard[] = [];
     for (const shard of shards) {
       if (shard.leftTokens <= 0) continue;
-      if (mostTokens <= 0) break;
+      if (tokenBudget <= 0) break;
       const before = shard.leftTokens;
-      prefillMs += advanceShard(shard, mostTokens) * this.slowdown;
-      mostTokens -= before - shard.leftTokens;
+      prefillMs += advanceShard(shard, tokenBudget) * this.slowdown;
+      tokenBudget -= before - shard.leftTokens;
       if (shard.leftTokens <= 0) ended.push(shard);
       if (!shard.isOwn) break;
     }
     return {prefillMs, ended};
   }
 
-  /** Simulates the iterations that have begun since the last call. */
+  /** Simulates the iterations that have started since the previous call. */
   private advance(now: number): void {
     while (this.iterationEndsAt <= now) {
-      this.settleEnded();
+      this.startCompletedSequences();
       if (this.isDecoding && this.shards.length > 0) this.startIteration();
-      else if (this.shards.length > 0) this.runNewest(now);
+      else if (this.shards.length > 0) this.runNewestShard(now);
       else this.iterationEndsAt = now;
       if (this.iterationEndsAt >= now) return;
     }
@@ -225,40 +245,38 @@
   private startIteration(): void {
     const {prefillMs, ended} = this.planIteration(this.shards);
     this.shards = this.shards.filter(shard => shard.leftTokens > 0);
-    this.ending = ended;
+    this.completingShards = ended;
     this.iterationEndsAt += this.decodeMs + prefillMs;
-    this.ends = undefined;
+    this.prefillEnds = undefined;
   }
 
-  /**
-   * Prefills the newest shard until `now` on an engine that decodes nothing.
-   */
-  private runNewest(now: number): void {
+  /** Prefills the newest shard until `now` while nothing is decoded. */
+  private runNewestShard(now: number): void {
     const [shard] = this.shards;
     const msPerToken = shard.msPerToken * this.slowdown;
-    const mostTokens = (now - this.iterationEndsAt) / msPerToken;
-    this.iterationEndsAt += advanceShard(shard, mostTokens) * this.slowdown;
-    this.ends = undefined;
-    if (shard.leftTokens > LEAST_TOKENS) {
+    const tokenLimit = (now - this.iterationEndsAt) / msPerToken;
+    this.iterationEndsAt += advanceShard(shard, tokenLimit) * this.slowdown;
+    this.prefillEnds = undefined;
+    if (shard.leftTokens > TOKEN_EPSILON) {
       this.iterationEndsAt = now;
       return;
     }
     this.shards.splice(0, 1);
-    this.ending = [shard];
+    this.completingShards = [shard];
   }
 
   /**
-   * Starts decoding prompts whose prefill has ended, without waiting for the
-   * gate that placed them to see the first token.
+   * Starts to decode prompts whose prefill is complete, without waiting until
+   * the gate that placed them has received the first token.
    */
-  private settleEnded(): void {
-    for (const {key, isOwn, isWhole, tokens} of this.ending) {
+  private startCompletedSequences(): void {
+    for (const {key, isOwn, isWhole, tokens} of this.completingShards) {
       if (!isOwn || !isWhole || this.sequences.has(key)) continue;
       this.sequences.set(key, tokens);
       this.contextTokens += tokens;
     }
-    if (this.ending.length === 0) return;
-    this.ending = [];
-    this.ends = undefined;
+    if (this.completingShards.length === 0) return;
+    this.completingShards = [];
+    this.prefillEnds = undefined;
   }
 }
--- a/packages/direct/src/placement/engine-model.ts
+++ b/packages/direct/src/placement/engine-model.ts
@@ -1,9 +1,9 @@
-/** Cost model of one engine, with figures from the configuration. */
+/** Cost model of one engine, parameterized by configured figures. */
 import type {EngineFigures} from '../types.js';
 
 /**
- * Estimates the prefill time of a prompt on one idle engine, in ms: linear in
- * tokens, plus attention over pairs of tokens.
+ * Estimates the prefill time of a prompt on one idle engine, in ms: a term
+ * linear in the prompt's tokens, plus attention over all pairs of tokens.
  *
  * @example
  * estimatePrefillMs(154_000, figures); // about 3050 with 177 tokens/ms
@@ -20,9 +20,10 @@
 }
 
 /**
- * Estimates the decode time of one iteration, in ms.
+ * Estimates the time that one engine iteration spends on decoding, in ms.
  *
- * @param contextTokens - Sum over the sequences.
+ * @param decoding - Number of sequences that are decoded.
+ * @param contextTokens - Context of all these sequences together.
  * @example
  * estimateDecodeMs(4, 20_000, figures); // about 48
  */
--- a/packages/direct/src/placement/kv-cache.ts
+++ b/packages/direct/src/placement/kv-cache.ts
@@ -1,19 +1,17 @@
-/** KV cache of engines: free capacity, and how several hold one prompt. */
+/** KV cache of engines: free capacity, and reservations for one prompt. */
 import type {EngineFigures} from '../types.js';
 import type {EngineLoad, KvReservation} from './load-tracker.js';
 import type {Candidate} from './price-prefill.js';
 import type {PromptDemand} from './prompt-types.js';
 
-/**
- * KV cache left free on an engine for the answers that it decodes, in tokens.
- */
+/** KV cache kept free on each engine for the answers it decodes, in tokens. */
 const KV_MARGIN_TOKENS = 6000;
 
 /**
  * Counts the free KV cache of an engine, in tokens.
  *
  * @example
- * countFreeKvTokens(candidate.load, figures); // 309000 on an idle one
+ * countFreeKvTokens(candidate.load, figures); // 309000 on an idle engine
  */
 export function countFreeKvTokens(
   load: EngineLoad,
@@ -23,10 +21,11 @@
 }
 
 /**
- * Plans the KV reservations of helpers for what the decoding engine cannot
- * hold, largest free capacity first.
+ * Plans KV cache reservations on helpers for the tokens that the decoding
+ * engine cannot hold; helpers with the most free capacity come first.
  *
- * @returns Nothing if they cannot hold it together.
+ * @returns The reservations, or undefined if the decoding engine and the
+ *   helpers together lack capacity.
  * @example
  * planReservations(decoder, helpers, demand, figures)?.length; // 0 when it fits
  */
@@ -36,36 +35,37 @@
   demand: PromptDemand,
   engine: EngineFigures,
 ): readonly KvReservation[] | undefined {
-  const need = demand.promptTokens + demand.maxOutputTokens;
-  let missing = need - countFreeKvTokens(decoder.load, engine);
-  if (missing <= 0) return [];
+  const neededTokens = demand.promptTokens + demand.maxOutputTokens;
+  let missingTokens = neededTokens - countFreeKvTokens(decoder.load, engine);
+  if (missingTokens <= 0) return [];
   const plan: KvReservation[] = [];
-  const byRoom = helpers
+  const helpersByFreeTokens = helpers
     .map(({id, load}) => ({id, room: countFreeKvTokens(load, engine)}))
     .sort((a, b) => b.room - a.room);
-  for (const {id, room} of byRoom) {
-    if (missing <= 0 || room <= 0) break;
-    const tokens = Math.ceil(Math.min(missing, room));
+  for (const {id, room} of helpersByFreeTokens) {
+    if (missingTokens <= 0 || room <= 0) break;
+    const tokens = Math.ceil(Math.min(missingTokens, room));
     plan.push({target: id, tokens});
-    missing -= tokens;
+    missingTokens -= tokens;
   }
-  return missing <= 0 ? plan : undefined;
+  return missingTokens <= 0 ? plan : undefined;
 }
 
 /**
- * Says whether idle engines could hold a prompt between them.
+ * Checks whether a prompt and its answer fit the KV cache of idle engines.
  *
- * @param most - Engines that may prefill one prompt.
+ * @param engines - Number of engines of the service.
+ * @param most - Maximum number of engines that may prefill one prompt.
  * @example
- * isEverFitting({promptTokens: 700_000, maxOutputTokens: 100}, figures, 2, 16); // false
+ * isWithinIdleKvCapacity({promptTokens: 700_000, maxOutputTokens: 100}, figures, 2, 16); // false
  */
-export function isEverFitting(
+export function isWithinIdleKvCapacity(
   demand: Pick<PromptDemand, 'promptTokens' | 'maxOutputTokens'>,
   engine: EngineFigures,
   engines: number,
   most: number,
 ): boolean {
-  const need = demand.promptTokens + demand.maxOutputTokens;
-  const room = engine.kvCapacityTokens - KV_MARGIN_TOKENS;
-  return need <= room * Math.min(engines, most);
+  const neededTokens = demand.promptTokens + demand.maxOutputTokens;
+  const usableTokens = engine.kvCapacityTokens - KV_MARGIN_TOKENS;
+  return neededTokens <= usableTokens * Math.min(engines, most);
 }
--- a/packages/direct/src/placement/load-tracker.ts
+++ b/packages/direct/src/placement/load-tracker.ts
@@ -1,51 +1,51 @@
 /**
  * Tracks which streams run on which engine, as placed by this gate and its
- * peers. Peers announce placements within milliseconds; load reports of engines
- * are older.
+ * peers. Placements are used instead of the engines' load reports because peers
+ * announce them within milliseconds, while load reports are older.
  */
 
 import {EngineIterations} from './engine-iterations.js';
 import type {EngineFigures} from '../types.js';
 
 /**
- * Longest predicted time to first token that says something about its engine if
- * missed, in ms. Long prompts are late for many other reasons.
+ * Longest predicted time to first token, in ms, at which a late first token
+ * counts as lag of the engine. Long prompts are late for many other reasons.
  */
 const SHORT_TTFT_MS = 400;
 
 /**
- * Upper bound of the lag, in ms, so that one stuck stream does not exclude an
- * engine for good.
+ * Upper bound of an engine's lag, in ms: one stuck stream must not exclude its
+ * engine permanently.
  */
 const MAX_LAG_MS = 200;
 
-/** The shard of a prompt that one engine prefills. */
+/** Shard of a prompt, assigned to the engine that prefills it. */
 export interface PrefillShard {
   readonly target: string;
   readonly prefillMs: number;
 }
 
-/** KV cache that a helper holds until the stream ends. */
+/** KV cache that a helper engine reserves until the stream ends. */
 export interface KvReservation {
   readonly target: string;
   readonly tokens: number;
 }
 
-/** One placed stream. */
+/** Assignment of one stream to engines. */
 export interface Placement {
-  /** Unique among all gates: owner and number. */
+  /** Key that is unique among all gates: owner, `#`, and a number. */
   readonly key: string;
-  /** The engine that decodes the answer; it prefills the first shard. */
+  /** Engine that decodes the answer; it also prefills the first shard. */
   readonly decoder: string;
   readonly shards: readonly PrefillShard[];
   readonly promptTokens: number;
   /** KV cache on the decoding engine until the stream ends, in tokens. */
   readonly kvTokens: number;
-  /** KV cache on helpers. */
+  /** KV cache reservations on helper engines. */
   readonly reserved: readonly KvReservation[];
   readonly objectiveMs: number;
   readonly itlObjectiveMs: number;
-  /** Worth of an answer within its objectives, relative to other streams. */
+  /** Value of an answer within its objectives, relative to other streams. */
   readonly value: number;
   /** Predicted time to first token, in ms. */
   readonly predictedTtftMs: number;
@@ -54,12 +54,12 @@
 }
 
 interface EngineState {
-  readonly entries: Set<Entry>;
-  /** Absent for an engine that is not in the configuration. */
+  readonly entries: Set<TrackedPlacement>;
+  /** Undefined for an engine that is not in the configuration. */
   readonly iterations: EngineIterations | undefined;
 }
 
-interface Entry {
+interface TrackedPlacement {
   readonly placement: Placement;
   hasBegun: boolean;
 }
@@ -67,91 +67,101 @@
 /** A prompt with a shard in the prefill queue of an engine. */
 export interface QueuedPrompt {
   readonly placement: Placement;
-  /** Time until the prefill of its shard here ends, in ms. */
-  readonly doneMs: number;
-  /** Time until the prefill of its last shard on any engine ends, in ms. */
+  /** Time until the prefill of the shard on this engine ends, in ms. */
+  readonly shardDoneMs: number;
+  /** Time until the prefill ends on all engines of the prompt, in ms. */
   readonly prefillDoneMs: number;
 }
 
-/** A stream that an engine will decode after prefill. */
+/** A stream whose prefill has not ended yet, on its decoding engine. */
 export interface PendingStream {
   readonly placement: Placement;
-  /** Time until the prefill of its last shard on any engine ends, in ms. */
+  /** Time until the prefill ends on all engines of the prompt, in ms. */
   readonly prefillDoneMs: number;
 }
 
-/** Load of one engine at one time. */
+/** Snapshot of the load of one engine. */
 export interface EngineLoad {
-  /** Time until the prefill queue is empty, lag included, in ms. */
+  /** Time until the prefill queue is empty, including the lag, in ms. */
   readonly backlogMs: number;
-  /** Time until a new shard can start: the rest of an iteration, in ms. */
+  /** Time until a new shard can start (rest of the iteration), in ms. */
   readonly waitMs: number;
   /** Prefill time of each coming iteration, in ms. */
   readonly iterationPrefillsMs: readonly number[];
   /**
-   * How far a first token is behind its prediction, in ms. A slow or dead
-   * engine shows by nothing else at first.
+   * Delay of the most overdue first token against its prediction, in ms. It is
+   * the first sign of an engine that is slow or has failed.
    */
   readonly lagMs: number;
   /** Prompts with a shard in the prefill queue. */
   readonly queued: readonly QueuedPrompt[];
-  /** Streams that are decoded here, or will be. */
+  /** Number of streams that this engine decodes now or after their prefill. */
   readonly active: number;
-  /** Streams that are decoded. */
+  /** Streams that this engine decodes now. */
   readonly decoding: readonly Placement[];
-  /** Streams that will be decoded here after prefill. */
+  /** Streams that this engine decodes once their prefill has ended. */
   readonly pending: readonly PendingStream[];
   readonly contextTokens: number;
-  /** KV cache of decoded streams and of reservations for others, in tokens. */
+  /** KV cache of streams decoded here and of helper reservations, in tokens. */
   readonly kvTokens: number;
-  /** Prompts for which it prefills a shard or holds KV cache as a helper. */
-  readonly helping: number;
+  /**
+   * Number of prompts for which this engine, as a helper, prefills a shard or
+   * reserves KV cache.
+   */
+  readonly helpedPrompts: number;
 }
 
 /**
- * The placements of all gates.
+ * Tracks the placements of all gates and derives the load of each engine.
  *
  * @example
  * tracker.add(placement);
  * tracker.describe('i-1', now).backlogMs;
  */
 export class LoadTracker {
-  private readonly entries = new Map<string, Entry>();
+  private readonly entries = new Map<string, TrackedPlacement>();
   private readonly engines = new Map<string, EngineState>();
   private readonly slowdowns = new Map<string, number>();
   private readonly removeListeners: Array<() => void> = [];
 
-  /** @param findEngine - Figures of a target that is an engine. */
+  /**
+   * @param findEngine - Returns the figures of an engine; undefined for a
+   *   target that is not a configured engine.
+   */
   constructor(
     private readonly findEngine: (target: string) => EngineFigures | undefined,
   ) {}
 
-  /** True while no gate has an open stream. */
+  /** True while no gate has a placed stream. */
   get isEmpty(): boolean {
     return this.entries.size === 0;
   }
 
-  /** Registers a listener for slots that become free. */
+  /** Registers a listener that is called when a stream releases its slot. */
   onRemove(listener: () => void): void {
     this.removeListeners.push(listener);
   }
 
-  /** Adds a placement; a known key changes nothing. */
+  /**
+   * Adds a placement. One with a known key is not added again.
+   *
+   * @param hasBegun - True if the first token has been received.
+   */
   add(placement: Placement, hasBegun = false): void {
     const known = this.entries.get(placement.key);
     if (known !== undefined) {
       if (hasBegun) this.markBegun(placement.key, placement.placedAt);
       return;
     }
-    const entry: Entry = {placement, hasBegun};
+    const entry: TrackedPlacement = {placement, hasBegun};
     this.entries.set(placement.key, entry);
     for (const target of listTargets(placement))
-      this.readEngine(target).entries.add(entry);
+      this.findEngineState(target).entries.add(entry);
     if (hasBegun) this.addSequence(placement, placement.placedAt);
     else this.addShards(placement);
   }
 
-  /** Records the first token: prefill has ended. */
+  /** Records that the first token was received, so that prefill has ended. */
   markBegun(key: string, now: number): void {
     const entry = this.entries.get(key);
     if (entry === undefined || entry.hasBegun) return;
@@ -161,7 +171,7 @@
     this.addSequence(entry.placement, now);
   }
 
-  /** Removes a stream that has ended. */
+  /** Removes the placement of a stream that has ended. */
   remove(key: string, now: number): void {
     const entry = this.entries.get(key);
     if (entry === undefined) return;
@@ -176,20 +186,22 @@
     for (const listener of this.removeListeners) listener();
   }
 
-  /** Time until the prefill of a prompt ends on all its engines, in ms. */
-  countPrefillLeftMs(key: string, now: number): number {
+  /** Estimates the time until a prompt is prefilled on all engines, in ms. */
+  estimateRemainingPrefillMs(key: string, now: number): number {
     const placement = this.entries.get(key)?.placement;
-    return placement === undefined ? 0 : this.findPrefillDoneMs(placement, now);
+    return placement === undefined
+      ? 0
+      : this.estimatePrefillDoneMs(placement, now);
   }
 
-  /** Sets the slowdown of an engine; 1 is as configured. */
+  /** Sets the slowdown of an engine; 1 means configured speed. */
   setSlowdown(target: string, slowdown: number, now: number): void {
     this.slowdowns.set(target, slowdown);
     if (slowdown === 1) this.slowdowns.delete(target);
     this.engines.get(target)?.iterations?.setSlowdown(slowdown, now);
   }
 
-  /** Lists the placements whose key begins with `owner`. */
+  /** Lists the placements of one owner, by the prefix of their keys. */
   listOwnedBy(owner: string): ReadonlyArray<{
     readonly placement: Placement;
     readonly hasBegun: boolean;
@@ -200,13 +212,13 @@
     );
   }
 
-  /** Removes every placement of `owner` that is not in `keep`. */
+  /** Removes every placement of `owner` whose key is not in `keep`. */
   dropUnlessKept(owner: string, keep: ReadonlySet<string>, now: number): void {
     for (const {placement} of this.listOwnedBy(owner))
       if (!keep.has(placement.key)) this.remove(placement.key, now);
   }
 
-  /** Describes the load of one engine. */
+  /** Describes the load of one engine at `now`. */
   describe(target: string, now: number): EngineLoad {
     const state = this.engines.get(target);
     const decoding: Placement[] = [];
@@ -214,12 +226,12 @@
     let contextTokens = 0;
     let kvTokens = 0;
     let lagMs = 0;
-    let helping = 0;
+    let helpedPrompts = 0;
     for (const {placement, hasBegun} of state?.entries ?? []) {
       if (placement.decoder !== target) {
         const reservedTokens = readReservedTokens(placement, target);
         kvTokens += reservedTokens;
-        if (reservedTokens > 0 || !hasBegun) helping++;
+        if (reservedTokens > 0 || !hasBegun) helpedPrompts++;
         continue;
       }
       kvTokens += placement.kvTokens;
@@ -227,9 +239,9 @@
         decoding.push(placement);
         contextTokens += placement.promptTokens;
       } else {
-        const prefillDoneMs = this.findPrefillDoneMs(placement, now);
+        const prefillDoneMs = this.estimatePrefillDoneMs(placement, now);
         pending.push({placement, prefillDoneMs});
-        lagMs = Math.max(lagMs, countLagMs(placement, now));
+        lagMs = Math.max(lagMs, measureLagMs(placement, now));
       }
     }
     return {
@@ -238,7 +250,7 @@
           0,
           ...(state?.iterations?.listPrefillEnds(now).values() ?? []),
         ) + lagMs,
-      waitMs: state?.iterations?.countWaitMs(now) ?? 0,
+      waitMs: state?.iterations?.estimateStartDelayMs(now) ?? 0,
       iterationPrefillsMs: state?.iterations?.listIterationPrefills(now) ?? [],
       lagMs,
       queued: this.listQueued(state, now),
@@ -247,7 +259,7 @@
       pending,
       contextTokens,
       kvTokens,
-      helping,
+      helpedPrompts,
     };
   }
 
@@ -256,17 +268,18 @@
     now: number,
   ): readonly QueuedPrompt[] {
     const queued: QueuedPrompt[] = [];
-    for (const [key, doneMs] of state?.iterations?.listPrefillEnds(now) ?? []) {
+    for (const [key, shardDoneMs] of state?.iterations?.listPrefillEnds(now) ??
+      []) {
       const placement = this.entries.get(key)?.placement;
       if (placement === undefined) continue;
-      const prefillDoneMs = this.findPrefillDoneMs(placement, now);
-      queued.push({placement, doneMs, prefillDoneMs});
+      const prefillDoneMs = this.estimatePrefillDoneMs(placement, now);
+      queued.push({placement, shardDoneMs, prefillDoneMs});
     }
     return queued;
   }
 
-  /** Time until the prefill of the last shard ends, in ms. */
-  private findPrefillDoneMs({key, shards}: Placement, now: number): number {
+  /** Estimates the time until the prefill of all shards has ended, in ms. */
+  private estimatePrefillDoneMs({key, shards}: Placement, now: number): number {
     let lastMs = 0;
     for (const {target} of shards) {
       const ends = this.engines.get(target)?.iterations?.listPrefillEnds(now);
@@ -282,7 +295,7 @@
       const isOwn = target === decoder;
       const isWhole = shards.length === 1;
       const work = {ms: prefillMs, tokens, isOwn, isWhole};
-      this.readEngine(target).iterations?.addShard(key, work, placedAt);
+      this.findEngineState(target).iterations?.addShard(key, work, placedAt);
     }
   }
 
@@ -290,10 +303,14 @@
     {key, decoder, promptTokens}: Placement,
     now: number,
   ): void {
-    this.readEngine(decoder).iterations?.addSequence(key, promptTokens, now);
+    this.findEngineState(decoder).iterations?.addSequence(
+      key,
+      promptTokens,
+      now,
+    );
   }
 
-  private readEngine(target: string): EngineState {
+  private findEngineState(target: string): EngineState {
     let state = this.engines.get(target);
     if (state === undefined) {
       const engine = this.findEngine(target);
@@ -306,8 +323,11 @@
   }
 }
 
-/** How far a short stream's first token is behind its prediction, in ms. */
-function countLagMs(placement: Placement, now: number): number {
+/**
+ * Measures how late the first token of a stream is against its prediction, in
+ * ms; 0 for streams with a long predicted time to first token.
+ */
+function measureLagMs(placement: Placement, now: number): number {
   if (placement.predictedTtftMs > SHORT_TTFT_MS) return 0;
   const dueAt = placement.placedAt + placement.predictedTtftMs;
   return Math.min(MAX_LAG_MS, Math.max(0, now - dueAt));
@@ -327,7 +347,7 @@
 }
 
 /**
- * Creates an empty tracker.
+ * Creates a load tracker without placements.
  *
  * @example
  * const tracker = createLoadTracker(id => state.findEngine(id));
--- a/packages/direct/src/placement/place-call.ts
+++ b/packages/direct/src/placement/place-call.ts
@@ -1,23 +1,23 @@
 /**
- * Chooses a target for a call to a plain service: least outstanding requests of
- * this gate, same availability zone preferred.
+ * Chooses the target for a call to a plain service: the one with the fewest
+ * outstanding calls of this gate, preferably in the same availability zone.
  */
-import {GREY_SHARE} from '../health/target-health.js';
+import {DEGRADED_FAILURE_SHARE} from '../health/target-health.js';
 import type {TargetHealth} from '../health/target-health.js';
 import type {FleetState} from '../fleet/fleet-state.js';
 import type {Target} from '../types.js';
 
 /**
- * Outstanding calls by which a target in the same zone may be ahead: traffic
+ * Score penalty of a target in another zone, in outstanding calls: traffic
  * within a zone is cheaper.
  */
-const ZONE_BONUS = 1.5;
+const REMOTE_ZONE_PENALTY = 1.5;
 
-/** Weight of a failure share of 1, in outstanding calls. */
-const FAILURE_WEIGHT = 8;
+/** Score penalty of a failure share of 1, in outstanding calls. */
+const FAILURE_PENALTY = 8;
 
 /**
- * Counts outstanding calls and chooses targets.
+ * Counts the outstanding calls of one gate and chooses targets for new calls.
  *
  * @example
  * const target = placer.choose('orders', new Set());
@@ -32,7 +32,7 @@
     private readonly readNow: () => number,
   ) {}
 
-  /** Chooses a target that is not in `tried`; nothing if none is left. */
+  /** Chooses a target that is not in `tried`; undefined if none is left. */
   choose(service: string, tried: ReadonlySet<string>): Target | undefined {
     const now = this.readNow();
     const left = this.state
@@ -41,7 +41,7 @@
     const sound = left.filter(
       target => !this.health.isSuspended(target.id, now),
     );
-    // If every target is suspended, any of them is better than none.
+    // If every target is suspended, trying one is better than failing the call.
     const usable = sound.length > 0 ? sound : left;
     let best: Target | undefined;
     let bestScore = Infinity;
@@ -54,19 +54,19 @@
     return best;
   }
 
-  /** Records that a call to `id` has begun. */
+  /** Records that a call to the target `id` has started. */
   enter(id: string): void {
     this.inFlight.set(id, (this.inFlight.get(id) ?? 0) + 1);
   }
 
-  /** Records that a call to `id` has ended. */
+  /** Records that a call to the target `id` has ended. */
   leave(id: string): void {
     const left = (this.inFlight.get(id) ?? 1) - 1;
     if (left > 0) this.inFlight.set(id, left);
     else this.inFlight.delete(id);
   }
 
-  /** Outstanding calls of this gate. */
+  /** Counts the outstanding calls of this gate to all targets. */
   countInFlight(): number {
     let count = 0;
     for (const calls of this.inFlight.values()) count += calls;
@@ -75,9 +75,10 @@
 
   private estimateScore(target: Target): number {
     const share = this.health.readFailureShare(target.id);
-    const failures = share > GREY_SHARE ? share * FAILURE_WEIGHT : 0;
-    const zone = target.zone === this.zone ? 0 : ZONE_BONUS;
-    // Spreads ties without outweighing a whole call.
+    const failures =
+      share > DEGRADED_FAILURE_SHARE ? share * FAILURE_PENALTY : 0;
+    const zone = target.zone === this.zone ? 0 : REMOTE_ZONE_PENALTY;
+    // The random part breaks ties; it weighs less than one outstanding call.
     return (
       (this.inFlight.get(target.id) ?? 0) + failures + zone + Math.random() / 2
     );
@@ -85,7 +86,7 @@
 }
 
 /**
- * Creates a placer.
+ * Creates a call placer.
  *
  * @example
  * const placer = createCallPlacer(state, health, 'az-1', () => performance.now());
--- a/packages/direct/src/placement/place-prompt.test.ts
+++ b/packages/direct/src/placement/place-prompt.test.ts
@@ -41,7 +41,7 @@
 
 let lastKey = 0;
 
-function placeOne(
+function placePrompt(
   tracker: LoadTracker,
   promptTokens: number,
   engines: number,
@@ -59,7 +59,7 @@
   return choice;
 }
 
-/** Four short streams that `engine` decodes. */
+/** Adds four short streams that `engine` decodes. */
 function addShortStreams(tracker: LoadTracker, engine: string): void {
   for (let i = 0; i < 4; i++) {
     tracker.add({
@@ -79,11 +79,11 @@
   }
 }
 
-describe('placing of prompts', () => {
-  it('splits a long prompt over several engines so that it is in time', () => {
-    // Guards against a long prompt that one engine prefills for longer than its
-    // objective.
-    const choice = placeOne(
+describe('choosePromptEngines', () => {
+  it('splits a long prompt over several engines to meet its objective', () => {
+    // Guards against a long prompt whose prefill on one engine takes longer
+    // than its objective.
+    const choice = placePrompt(
       createLoadTracker(() => ENGINE),
       300_000,
       16,
@@ -93,10 +93,10 @@
     expect((choice?.predictedTtftMs ?? Infinity) < 3000).toEqual(true);
   });
 
-  it('does not leave a prompt that is late already to one engine', () => {
-    // Guards against an engine that is blocked by a prompt whose caller leaves
-    // before its end.
-    const choice = placeOne(
+  it('predicts under 6 s for a prompt that cannot meet its objective of 3 s', () => {
+    // Guards against placing such a prompt on one engine, which would be
+    // blocked until after the caller has cancelled.
+    const choice = placePrompt(
       createLoadTracker(() => ENGINE),
       600_000,
       16,
@@ -105,10 +105,11 @@
     expect((choice?.predictedTtftMs ?? Infinity) < 6000).toEqual(true);
   });
 
-  it('prefills a short prompt on one engine', () => {
-    // Guards against shards that wait longer for an iteration than they take.
+  it('prefills a short prompt on at most two engines', () => {
+    // Guards against shards that wait longer for an iteration than their
+    // prefill takes.
     for (const tokens of [400, 3000, 4900]) {
-      const choice = placeOne(
+      const choice = placePrompt(
         createLoadTracker(() => ENGINE),
         tokens,
         16,
@@ -118,29 +119,30 @@
     }
   });
 
-  it('packs short streams and keeps long prefills away from them', () => {
-    // Guards against long prefill beside short streams, which exceeds their
-    // inter-token latency.
+  it('packs short streams on few engines and prefills long prompts on others', () => {
+    // Guards against a long prefill on engines that decode short streams, which
+    // makes those streams miss their inter-token objective.
     const tracker = createLoadTracker(() => ENGINE);
-    const shortOnes = new Set<string>();
+    const shortStreamEngines = new Set<string>();
     for (let i = 0; i < 12; i++) {
-      const choice = placeOne(tracker, 3000, 16, i * 40);
+      const choice = placePrompt(tracker, 3000, 16, i * 40);
       tracker.markBegun(`g#${lastKey}`, i * 40);
-      shortOnes.add(choice?.decoder ?? '');
+      shortStreamEngines.add(choice?.decoder ?? '');
     }
-    expect(shortOnes.size <= 3).toEqual(true);
-    const long = placeOne(tracker, 200_000, 16, 500);
+    expect(shortStreamEngines.size <= 3).toEqual(true);
+    const long = placePrompt(tracker, 200_000, 16, 500);
     const shared = (long?.shards ?? []).filter(shard =>
-      shortOnes.has(shard.target),
+      shortStreamEngines.has(shard.target),
     );
     expect(shared).toEqual([]);
   });
 
-  it('delays no others for a prompt that has missed its objective', () => {
-    // Guards against a second attempt that delays short streams without a gain.
+  it('places a prompt past its objective only on engines that decode nothing', () => {
+    // Guards against a retry that delays short streams although its own
+    // objective is already missed.
     const tracker = createLoadTracker(() => ENGINE);
     for (let i = 0; i < 40; i++) {
-      placeOne(tracker, 3000, 16, i * 10);
+      placePrompt(tracker, 3000, 16, i * 10);
       tracker.markBegun(`g#${lastKey}`, i * 10);
     }
     const demand = {...buildDemand(190_000), objectiveLeftMs: -500};
@@ -150,19 +152,19 @@
       ENGINE,
       500,
     );
-    const beside = (choice?.shards ?? []).filter(
+    const decodingShards = (choice?.shards ?? []).filter(
       shard => tracker.describe(shard.target, 500).decoding.length > 0,
     );
-    expect(beside).toEqual([]);
+    expect(decodingShards).toEqual([]);
   });
 
-  it('lets no later long prompt delay an earlier one past its objective', () => {
+  it('keeps consecutive long prompts from delaying each other past 3 s', () => {
     // Guards against long prompts that preempt each other on the same engine.
     const tracker = createLoadTracker(() => ENGINE);
     const decoders = new Set<string>();
     const sizes = [150_000, 180_000, 280_000, 200_000, 260_000];
     for (const [i, tokens] of sizes.entries()) {
-      const choice = placeOne(tracker, tokens, 16, i * 10);
+      const choice = placePrompt(tracker, tokens, 16, i * 10);
       expect((choice?.predictedTtftMs ?? Infinity) < 3000).toEqual(true);
       decoders.add(choice?.decoder ?? '');
     }
@@ -170,39 +172,39 @@
       expect(tracker.describe(decoder, 50).backlogMs < 2900).toEqual(true);
   });
 
-  it('counts a prompt that is queued on many engines once', () => {
-    // Guards against counting the delay of one prompt once for each of its
-    // engines.
+  it('counts the delay of a prompt that is queued on several engines once', () => {
+    // Guards against counting the delay of one prompt once per engine, which
+    // makes busy engines look too expensive.
     const pending = [1, 2, 3].map(count => {
       const tracker = createLoadTracker(() => ENGINE);
-      for (let i = 0; i < count; i++) placeOne(tracker, 250_000, 9, i);
+      for (let i = 0; i < count; i++) placePrompt(tracker, 250_000, 9, i);
       addShortStreams(tracker, 'e9');
-      return placeOne(tracker, 260_000, 10, 10);
+      return placePrompt(tracker, 260_000, 10, 10);
     });
     for (const choice of pending)
       expect((choice?.shards.length ?? 0) > 4).toEqual(true);
-    const usesShortOnes = pending[0]?.shards.some(
+    const usesShortStreamEngine = pending[0]?.shards.some(
       shard => shard.target === 'e9',
     );
-    expect(usesShortOnes).toEqual(false);
+    expect(usesShortStreamEngine).toEqual(false);
   });
 
-  it('expects a new shard to preempt queued ones', () => {
-    // Guards against avoiding engines that would preempt older work for a new
-    // shard.
+  it('predicts that a new shard preempts the queued shards of an engine', () => {
+    // Guards against avoiding engines for their backlog although they would
+    // prefill a new shard first.
     const tracker = createLoadTracker(() => ENGINE);
-    placeOne(tracker, 90_000, 1, 0);
+    placePrompt(tracker, 90_000, 1, 0);
     const [candidate] = listCandidates(tracker, 1, 0);
     expect(candidate.load.backlogMs > 1000).toEqual(true);
     const priced = pricePrefill(candidate, 200, ENGINE, 0);
     expect(priced.helperDoneMs < 300).toEqual(true);
-    expect(priced.ownDoneMs < 300).toEqual(true);
+    expect(priced.decoderDoneMs < 300).toEqual(true);
     const long = pricePrefill(candidate, 2000, ENGINE, 0);
     expect([...long.queueInterference.values()][0] > 1).toEqual(true);
   });
 
-  it('reserves on helpers what one engine cannot hold', () => {
-    const choice = placeOne(
+  it('reserves KV cache on helpers for tokens that one engine cannot hold', () => {
+    const choice = placePrompt(
       createLoadTracker(() => ENGINE),
       400_000,
       16,
@@ -216,12 +218,12 @@
     expect(reserved + (choice?.kvTokens ?? 0) >= 401_600).toEqual(true);
   });
 
-  it('counts KV cache that a helper holds for another prompt', () => {
-    // Guards against reservations on a helper whose KV cache is reserved
-    // already.
+  it('counts KV cache that a helper has reserved for another prompt', () => {
+    // Guards against reserving KV cache on a helper that has already reserved
+    // it for another prompt.
     const tracker = createLoadTracker(() => ENGINE);
-    const first = placeOne(tracker, 400_000, 4, 0);
-    const second = placeOne(tracker, 400_000, 4, 10);
+    const first = placePrompt(tracker, 400_000, 4, 0);
+    const second = placePrompt(tracker, 400_000, 4, 10);
     for (const choice of [first, second])
       for (const {target, tokens} of choice?.reservations ?? []) {
         const {kvTokens} = tracker.describe(target, 20);
@@ -233,17 +235,20 @@
     expect(reserved).toEqual(2 * (400_000 + 1600));
   });
 
-  it('never lets an engine help more prompts than it takes', () => {
-    // Guards against more shards than an engine accepts as a helper.
+  it('never uses an engine as a helper for more prompts than it has slots', () => {
+    // Guards against shards that an engine refuses because it helps too many
+    // prompts.
     const tracker = createLoadTracker(() => ENGINE);
-    for (let i = 0; i < 40; i++) placeOne(tracker, 60_000, 3, 0);
+    for (let i = 0; i < 40; i++) placePrompt(tracker, 60_000, 3, 0);
     for (const id of ['e0', 'e1', 'e2'])
-      expect(tracker.describe(id, 0).helping < ENGINE.slots + 1).toEqual(true);
+      expect(tracker.describe(id, 0).helpedPrompts < ENGINE.slots + 1).toEqual(
+        true,
+      );
   });
 
-  it('places nothing that all engines together cannot hold', () => {
+  it('returns undefined for a prompt that all engines together cannot hold', () => {
     expect(
-      placeOne(
+      placePrompt(
         createLoadTracker(() => ENGINE),
         700_000,
         2,
@@ -252,8 +257,9 @@
     ).toEqual(undefined);
   });
 
-  it('gives every placement a whole prefill and KV cache for it', () => {
-    // Shards add up to the whole prefill, each on another engine.
+  it('splits the whole prefill over distinct engines within their KV cache', () => {
+    // Guards against shards that do not add up to the whole prefill, and
+    // against two shards of a prompt on one engine.
     const tokens = fc.oneof(
       fc.integer({min: 1, max: 20_000}),
       fc.integer({min: 20_000, max: 700_000}),
@@ -265,7 +271,7 @@
         (sizes, engines) => {
           const tracker = createLoadTracker(() => ENGINE);
           for (const [i, size] of sizes.entries()) {
-            const choice = placeOne(tracker, size, engines, i * 25);
+            const choice = placePrompt(tracker, size, engines, i * 25);
             if (choice === undefined) continue;
             const work = choice.shards.reduce(
               (sum, shard) => sum + shard.prefillMs,
@@ -290,30 +296,30 @@
   });
 });
 
-describe('load tracker', () => {
-  it('forgets the placements of a gate that is gone', () => {
+describe('LoadTracker', () => {
+  it('removes all placements of an owner if none are to be kept', () => {
     const tracker = createLoadTracker(() => ENGINE);
-    placeOne(tracker, 200_000, 4, 0);
+    placePrompt(tracker, 200_000, 4, 0);
     expect(tracker.describe('e0', 0).backlogMs > 0).toEqual(true);
     tracker.dropUnlessKept('g', new Set(), 0);
     expect(tracker.describe('e0', 0).backlogMs).toEqual(0);
     expect(tracker.describe('e0', 0).active).toEqual(0);
   });
 
-  it('shows that an engine is behind its prediction', () => {
-    // Guards against placing streams on an engine that has died without a
-    // reset.
+  it('reports lag after the predicted first token, so that placement avoids the engine', () => {
+    // Guards against placing streams on an engine that has failed without
+    // resetting its connections.
     const tracker = createLoadTracker(() => ENGINE);
-    const choice = placeOne(tracker, 3000, 2, 0);
+    const choice = placePrompt(tracker, 3000, 2, 0);
     const dueAt = choice?.predictedTtftMs ?? 0;
     expect(tracker.describe(choice?.decoder ?? '', dueAt).lagMs).toEqual(0);
-    const later = placeOne(tracker, 3000, 2, dueAt + 200);
+    const later = placePrompt(tracker, 3000, 2, dueAt + 200);
     expect(later?.decoder === choice?.decoder).toEqual(false);
   });
 
-  it('counts no prefill after the first token', () => {
+  it('counts a stream as decoded, without backlog, after its first token', () => {
     const tracker = createLoadTracker(() => ENGINE);
-    const choice = placeOne(tracker, 3000, 1, 0);
+    const choice = placePrompt(tracker, 3000, 1, 0);
     expect(tracker.describe('e0', 0).backlogMs > 0).toEqual(true);
     tracker.markBegun(`g#${lastKey}`, 0);
     const load = tracker.describe(choice?.decoder ?? '', 0);
--- a/packages/direct/src/placement/place-prompt.ts
+++ b/packages/direct/src/placement/place-prompt.ts
@@ -1,15 +1,15 @@
 /**
  * Chooses the engines for a prompt. The cost of a choice is the expected loss
- * of all callers: this stream may miss its objectives, and its prefill
- * interferes with streams that the chosen engines decode or have queued.
+ * over all streams: the new stream may miss its objectives, and its prefill
+ * delays streams that the chosen engines decode or have queued.
  */
 import {planReservations} from './kv-cache.js';
 import {estimatePrefillMs} from './engine-model.js';
 import {
   estimateIterationMs,
-  estimateOwnLoss,
+  estimateStreamLoss,
   priceAsDecoder,
-  priceDecoder,
+  priceLoadAndZone,
 } from './price-decoder.js';
 import {pricePrefill} from './price-prefill.js';
 import type {EngineFigures} from '../types.js';
@@ -17,26 +17,26 @@
 import type {Candidate, PricedEngine} from './price-prefill.js';
 import type {PromptChoice, PromptDemand} from './prompt-types.js';
 
-/** Price of each helper: one more engine whose failure fails the prefill. */
+/** Price of each helper: one more engine whose failure aborts the prefill. */
 const HELPER_PRICE = 0.01;
 
-/** Most engines that prefill one prompt, the decoding engine included. */
+/** Maximum engines that prefill one prompt, including the decoding engine. */
 export const MAX_PREFILL_ENGINES = 16;
 
 /**
- * Smallest shard worth an engine of its own, in ms: smaller ones wait longer
- * for an iteration than they take.
+ * Minimum prefill time of a shard, in ms: smaller shards wait longer for an
+ * iteration than their prefill takes.
  */
 const MIN_SHARD_MS = 25;
 
 /**
- * Engines that are tried as the decoding engine for each number of shards.
- * Keeps the cost of a choice within the processor share of a small host.
+ * Maximum engines that are tried as the decoding engine for each number of
+ * shards: limits the CPU time of a choice to what a small host can spare.
  */
 const MAX_DECODERS = 12;
 
 /**
- * Estimates the worth of a stream relative to others, by prompt size.
+ * Estimates the value of a stream relative to other streams by prompt size.
  *
  * @example
  * estimateValue(154_000); // 16.4
@@ -46,9 +46,9 @@
 }
 
 /**
- * Picks the engines with the least interference, one more than needed, as the
- * decoding engine may be among them. Engines with as many shards as slots would
- * refuse another one.
+ * Picks the engines with the least interference as helpers. The count includes
+ * one spare, because the decoding engine may be among those picked. Engines
+ * that help as many prompts as they have slots would refuse another shard.
  */
 function pickHelpers(
   priced: readonly PricedEngine[],
@@ -56,7 +56,7 @@
   engine: EngineFigures,
 ): readonly PricedEngine[] {
   return priced
-    .filter(({candidate}) => candidate.load.helping < engine.slots)
+    .filter(({candidate}) => candidate.load.helpedPrompts < engine.slots)
     .sort(
       (a, b) =>
         a.helperInterference - b.helperInterference ||
@@ -65,7 +65,7 @@
     .slice(0, count);
 }
 
-/** Picks the engines that are cheapest for decoding. */
+/** Picks the engines with the lowest price as the decoding engine. */
 function pickDecoders(
   priced: readonly PricedEngine[],
   demand: PromptDemand,
@@ -73,35 +73,42 @@
 ): readonly PricedEngine[] {
   if (priced.length <= MAX_DECODERS) return priced;
   const costs = new Map(
-    priced.map(one => [one, priceAsDecoder(one, demand, engine)]),
+    priced.map(pricedEngine => [
+      pricedEngine,
+      priceAsDecoder(pricedEngine, demand, engine),
+    ]),
   );
-  const findCost = (one: PricedEngine) => costs.get(one) ?? Infinity;
+  const findCost = (pricedEngine: PricedEngine) =>
+    costs.get(pricedEngine) ?? Infinity;
   return [...priced]
     .sort((a, b) => findCost(a) - findCost(b))
     .slice(0, MAX_DECODERS);
 }
 
 /**
- * Sums interference. A queued prompt that several engines delay is late once,
- * so only the largest delay counts.
+ * Sums the interference on all chosen engines. A queued prompt that several
+ * engines delay is late only once, so only its largest loss counts.
  */
 function sumAllInterference(
   decoder: PricedEngine,
   helpers: readonly PricedEngine[],
 ): number {
-  const worst = new Map<string, number>();
-  let sum = decoder.ownDecodeInterference;
+  const largestLossByPrompt = new Map<string, number>();
+  let sum = decoder.decoderDecodeInterference;
   for (const {helperDecodeInterference} of helpers)
     sum += helperDecodeInterference;
   for (const {queueInterference} of [decoder, ...helpers]) {
     for (const [key, loss] of queueInterference)
-      worst.set(key, Math.max(loss, worst.get(key) ?? 0));
+      largestLossByPrompt.set(
+        key,
+        Math.max(loss, largestLossByPrompt.get(key) ?? 0),
+      );
   }
-  for (const loss of worst.values()) sum += loss;
+  for (const loss of largestLossByPrompt.values()) sum += loss;
   return sum;
 }
 
-/** Builds a choice; nothing if the engines lack KV cache. */
+/** Builds a choice; undefined if the engines lack KV cache for the prompt. */
 function buildChoice(
   decoder: PricedEngine,
   helpers: readonly PricedEngine[],
@@ -121,7 +128,7 @@
     demand.promptTokens / (helpers.length + 1),
     engine,
   );
-  let prefillDoneMs = decoder.ownDoneMs;
+  let prefillDoneMs = decoder.decoderDoneMs;
   for (const helper of helpers)
     prefillDoneMs = Math.max(prefillDoneMs, helper.helperDoneMs);
   const predictedTtftMs = prefillDoneMs;
@@ -137,18 +144,19 @@
     backlogMs: load.backlogMs,
     predictedTtftMs,
     cost:
-      estimateOwnLoss(predictedTtftMs, iterationMs, demand) * demand.value +
+      estimateStreamLoss(predictedTtftMs, iterationMs, demand) * demand.value +
       sumAllInterference(decoder, helpers) +
-      priceDecoder(decoder.candidate, demand, engine) +
+      priceLoadAndZone(decoder.candidate, demand, engine) +
       HELPER_PRICE * helpers.length,
   };
 }
 
 /**
  * Chooses one or more engines for a prompt: the cheapest combination of a
- * decoding engine and helpers, for every number of shards.
+ * decoding engine and helpers over all numbers of shards.
  *
- * @returns Nothing if the engines cannot hold the prompt.
+ * @returns The choice, or undefined if the engines lack KV cache for the
+ *   prompt.
  * @example
  * choosePromptEngines(candidates, demand, figures, performance.now())?.decoder;
  */
@@ -184,7 +192,7 @@
 }
 
 /**
- * Turns a choice into the placement that the load tracker keeps.
+ * Builds the placement that the load tracker stores for a choice.
  *
  * @example
  * tracker.add(buildPlacement('10.1.0.4#7', choice, demand, now));
--- a/packages/direct/src/placement/price-decoder.ts
+++ b/packages/direct/src/placement/price-decoder.ts
@@ -1,4 +1,4 @@
-/** Prices an engine as the one that decodes the answer. */
+/** Prices an engine as the decoding engine of a prompt. */
 import {countFreeKvTokens} from './kv-cache.js';
 import {estimateDecodeMs} from './engine-model.js';
 import {
@@ -6,7 +6,7 @@
   LATE_LOSS,
   ITL_ERROR,
   estimateLoss,
-  estimateRisk,
+  estimateMissProbability,
 } from './loss.js';
 import {ABANDON_TTFT_OBJECTIVES} from './price-prefill.js';
 import type {EngineFigures} from '../types.js';
@@ -14,59 +14,65 @@
 import type {PromptDemand} from './prompt-types.js';
 
 /**
- * Price of the first latency-sensitive stream on an engine. It packs short
- * streams on few engines, which leaves the others to long prefills.
+ * Price of the first latency-sensitive stream on an engine, and of any other
+ * stream beside such streams. Packs short streams on few engines, so that the
+ * remaining engines can run long prefills.
  */
-const IDLE_ENGINE_PRICE = 0.25;
+const ITL_MISMATCH_PRICE = 0.25;
 
-/** Inter-token objective up to which a stream is latency-sensitive, in ms. */
-const TIGHT_ITL_MS = 400;
+/** Maximum inter-token objective of a latency-sensitive stream, in ms. */
+const LATENCY_SENSITIVE_ITL_MS = 400;
 
-/** Price of traffic to another availability zone. */
-const REMOTE_PRICE = 0.02;
+/** Price of an engine in another availability zone, for cross-zone traffic. */
+const REMOTE_ZONE_PRICE = 0.02;
 
 /** Price of each stream above an engine's slots, as a share of its value. */
-const OVERFULL_PRICE = 0.5;
+const EXCESS_STREAM_PRICE = 0.5;
 
-/** Share of the slots above which iterations grow long. */
-const FULL_SHARE = 0.8;
+/** Share of occupied slots above which iterations become long. */
+const HIGH_LOAD_SHARE = 0.8;
 
 /**
- * Price of a wait as long as the objective, as a share of a stream's worth:
- * decides between choices that are equally in time.
+ * Price of a wait as long as the objective, as a share of a stream's value:
+ * breaks ties between choices that all meet the objective.
  */
 const WAITING_PRICE = 0.01;
 
 /**
- * Prices an engine by its load and zone.
+ * Prices an engine by its number of streams and its availability zone.
  *
  * @example
- * priceDecoder(candidate, demand, figures); // 0.25 for an idle engine
+ * priceLoadAndZone(candidate, demand, figures); // 0.25 for an idle engine
  */
-export function priceDecoder(
+export function priceLoadAndZone(
   candidate: Candidate,
   demand: PromptDemand,
   engine: EngineFigures,
 ): number {
   const {load, isRemote} = candidate;
-  const isTight = demand.itlObjectiveMs <= TIGHT_ITL_MS;
-  const hasTight =
-    load.decoding.some(stream => stream.itlObjectiveMs <= TIGHT_ITL_MS) ||
+  const isLatencySensitive = demand.itlObjectiveMs <= LATENCY_SENSITIVE_ITL_MS;
+  const hasLatencySensitive =
+    load.decoding.some(
+      stream => stream.itlObjectiveMs <= LATENCY_SENSITIVE_ITL_MS,
+    ) ||
     load.pending.some(
-      ({placement}) => placement.itlObjectiveMs <= TIGHT_ITL_MS,
+      ({placement}) => placement.itlObjectiveMs <= LATENCY_SENSITIVE_ITL_MS,
     );
-  const over = load.active + 1 - engine.slots * FULL_SHARE;
-  let price = isRemote ? REMOTE_PRICE : 0;
-  if (isTight !== hasTight) price += IDLE_ENGINE_PRICE;
-  if (over > 0) price += (over / engine.slots) * OVERFULL_PRICE * demand.value;
+  const excessStreams = load.active + 1 - engine.slots * HIGH_LOAD_SHARE;
+  let price = isRemote ? REMOTE_ZONE_PRICE : 0;
+  if (isLatencySensitive !== hasLatencySensitive) price += ITL_MISMATCH_PRICE;
+  if (excessStreams > 0)
+    price +=
+      (excessStreams / engine.slots) * EXCESS_STREAM_PRICE * demand.value;
   if (load.active >= engine.slots)
-    price += (load.active + 1 - engine.slots) * OVERFULL_PRICE * demand.value;
+    price +=
+      (load.active + 1 - engine.slots) * EXCESS_STREAM_PRICE * demand.value;
   return price;
 }
 
 /**
- * Estimates the longest iteration of an engine that decodes this stream beside
- * its others, in ms.
+ * Estimates the longest iteration of an engine that decodes one more stream, in
+ * ms.
  *
  * @example
  * estimateIterationMs(candidate, 3000, figures);
@@ -83,30 +89,31 @@
 }
 
 /**
- * Estimates the share of its worth that the new stream loses.
+ * Estimates the share of its value that the new stream loses.
  *
  * @example
- * estimateOwnLoss(200, 60, demand);
+ * estimateStreamLoss(200, 60, demand);
  */
-export function estimateOwnLoss(
+export function estimateStreamLoss(
   predictedTtftMs: number,
   iterationMs: number,
   demand: PromptDemand,
 ): number {
   return (
     estimateLoss(predictedTtftMs, {
-      leftMs: demand.objectiveLeftMs,
+      remainingMs: demand.objectiveLeftMs,
       wholeMs: demand.objectiveMs,
-      abandonAfter: ABANDON_TTFT_OBJECTIVES,
+      abandonMultiple: ABANDON_TTFT_OBJECTIVES,
       error: TTFT_ERROR,
     }) +
-    LATE_LOSS * estimateRisk(iterationMs, demand.itlObjectiveMs, ITL_ERROR) +
+    LATE_LOSS *
+      estimateMissProbability(iterationMs, demand.itlObjectiveMs, ITL_ERROR) +
     (WAITING_PRICE * predictedTtftMs) / demand.objectiveMs
   );
 }
 
 /**
- * Prices a choice by its decoding engine alone.
+ * Prices a choice by its decoding engine only, without helpers.
  *
  * @example
  * priceAsDecoder(priced, demand, figures);
@@ -116,21 +123,27 @@
   demand: PromptDemand,
   engine: EngineFigures,
 ): number {
-  const {candidate, ownDoneMs, ownDecodeInterference, queueInterference} =
-    priced;
-  const need = demand.promptTokens + demand.maxOutputTokens;
-  const missing =
-    Math.max(0, need - countFreeKvTokens(candidate.load, engine)) / need;
+  const {
+    candidate,
+    decoderDoneMs,
+    decoderDecodeInterference,
+    queueInterference,
+  } = priced;
+  const neededTokens = demand.promptTokens + demand.maxOutputTokens;
+  const missingKvShare =
+    Math.max(0, neededTokens - countFreeKvTokens(candidate.load, engine)) /
+    neededTokens;
   const iterationMs = estimateIterationMs(
     candidate,
     demand.promptTokens,
     engine,
   );
   return (
-    (estimateOwnLoss(ownDoneMs, iterationMs, demand) + missing) * demand.value +
-    ownDecodeInterference +
+    (estimateStreamLoss(decoderDoneMs, iterationMs, demand) + missingKvShare) *
+      demand.value +
+    decoderDecodeInterference +
     sumInterference(queueInterference.values()) +
-    priceDecoder(candidate, demand, engine)
+    priceLoadAndZone(candidate, demand, engine)
   );
 }
 
--- a/packages/direct/src/placement/price-prefill.ts
+++ b/packages/direct/src/placement/price-prefill.ts
@@ -1,49 +1,49 @@
 /**
- * Prices an engine for the prefill of a shard. The newest shard goes first, so
- * it delays every prompt in the engine's queue.
+ * Prices an engine for the prefill of a shard. The newest shard is prefilled
+ * first, so it delays every prompt in the prefill queue of the engine.
  */
 import {estimateDecodeMs} from './engine-model.js';
 import {TTFT_ERROR, ITL_ERROR, estimateAddedLoss} from './loss.js';
 import type {EngineFigures} from '../types.js';
 import type {EngineLoad} from './load-tracker.js';
 
-/** Multiple of the inter-token objective at which callers leave. */
+/** Multiple of the inter-token objective at which callers cancel. */
 const ABANDON_ITL_OBJECTIVES = 8;
 
-/** Multiple of the first token's objective at which callers leave. */
+/** Multiple of the time-to-first-token objective at which callers cancel. */
 export const ABANDON_TTFT_OBJECTIVES = 4;
 
-/** An engine that may be chosen. */
+/** An engine considered for placing one prompt. */
 export interface Candidate {
   readonly id: string;
   readonly isRemote: boolean;
-  /** Measured slowdown; 1 is as configured. */
+  /** Measured slowdown; 1 means configured speed. */
   readonly slowdown: number;
   readonly load: EngineLoad;
 }
 
-/** An engine with the cost of a shard on it. */
+/** A candidate engine with the cost of prefilling a shard on it. */
 export interface PricedEngine {
   readonly candidate: Candidate;
-  /** Prefill time of the shard as configured, in ms. */
+  /** Prefill time of the shard at configured speed, in ms. */
   readonly shardMs: number;
-  /**
-   * Time until the prefill ends, as a helper and as the decoding engine, in ms.
-   */
+  /** Time until the prefill ends if the engine is a helper, in ms. */
   readonly helperDoneMs: number;
-  readonly ownDoneMs: number;
-  /** Interference with the streams that the engine decodes, in either role. */
+  /** Time until the prefill ends if the engine decodes the answer, in ms. */
+  readonly decoderDoneMs: number;
+  /** Interference with streams that the engine decodes, as a helper. */
   readonly helperDecodeInterference: number;
-  readonly ownDecodeInterference: number;
-  /** Interference with each queued prompt, by its key. */
+  /** Interference with streams that the engine decodes, as decoding engine. */
+  readonly decoderDecodeInterference: number;
+  /** Interference with each queued prompt, by placement key. */
   readonly queueInterference: ReadonlyMap<string, number>;
-  /** Decode and queue interference together, as a helper. */
+  /** Sum of decode and queue interference if the engine is a helper. */
   readonly helperInterference: number;
 }
 
 /**
- * Interference with decoded streams: their inter-token latency grows with the
- * longest iteration.
+ * Estimates the interference with decoded streams, whose inter-token latency
+ * grows with the longest iteration.
  */
 function estimateDecodeInterference(
   load: EngineLoad,
@@ -58,17 +58,17 @@
     sum +=
       stream.value *
       estimateAddedLoss(decodeMs + longestMs, addedMs, {
-        leftMs: stream.itlObjectiveMs,
+        remainingMs: stream.itlObjectiveMs,
         wholeMs: stream.itlObjectiveMs,
-        abandonAfter: ABANDON_ITL_OBJECTIVES,
+        abandonMultiple: ABANDON_ITL_OBJECTIVES,
         error: ITL_ERROR,
       });
   return sum;
 }
 
 /**
- * Interference with streams that start decoding while the shard is prefilled:
- * the rest of it falls between their first two events.
+ * Estimates the interference with streams that start decoding while the shard
+ * is prefilled: the rest of this prefill delays their second event.
  */
 function estimatePendingInterference(
   load: EngineLoad,
@@ -78,14 +78,14 @@
   const longestMs = Math.max(0, ...load.iterationPrefillsMs);
   let sum = 0;
   for (const {placement, prefillDoneMs} of load.pending) {
-    const leftMs = Math.min(prefillMs, shardEndMs - prefillDoneMs);
-    if (leftMs <= longestMs) continue;
+    const overlapMs = Math.min(prefillMs, shardEndMs - prefillDoneMs);
+    if (overlapMs <= longestMs) continue;
     sum +=
       placement.value *
-      estimateAddedLoss(longestMs, leftMs - longestMs, {
-        leftMs: placement.itlObjectiveMs,
+      estimateAddedLoss(longestMs, overlapMs - longestMs, {
+        remainingMs: placement.itlObjectiveMs,
         wholeMs: placement.itlObjectiveMs,
-        abandonAfter: ABANDON_ITL_OBJECTIVES,
+        abandonMultiple: ABANDON_ITL_OBJECTIVES,
         error: ITL_ERROR,
       });
   }
@@ -93,31 +93,31 @@
 }
 
 /**
- * Interference with queued prompts: the new shard preempts them. A prompt that
- * waits longer for another engine is not delayed by this one.
+ * Estimates the interference with queued prompts, which the new shard preempts.
+ * A prompt that waits longer for another engine is not delayed by this one.
  */
 function estimateQueueInterference(
   load: EngineLoad,
   addedMs: number,
   now: number,
 ): ReadonlyMap<string, number> {
-  const byKey = new Map<string, number>();
-  for (const {placement, doneMs, prefillDoneMs} of load.queued) {
-    const delayMs = Math.max(0, addedMs - (prefillDoneMs - doneMs));
+  const lossByPrompt = new Map<string, number>();
+  for (const {placement, shardDoneMs, prefillDoneMs} of load.queued) {
+    const delayMs = Math.max(0, addedMs - (prefillDoneMs - shardDoneMs));
     if (delayMs === 0) continue;
     const loss = estimateAddedLoss(prefillDoneMs, delayMs, {
-      leftMs: placement.objectiveMs - (now - placement.placedAt),
+      remainingMs: placement.objectiveMs - (now - placement.placedAt),
       wholeMs: placement.objectiveMs,
-      abandonAfter: ABANDON_TTFT_OBJECTIVES,
+      abandonMultiple: ABANDON_TTFT_OBJECTIVES,
       error: TTFT_ERROR,
     });
-    byKey.set(placement.key, placement.value * loss);
+    lossByPrompt.set(placement.key, placement.value * loss);
   }
-  return byKey;
+  return lossByPrompt;
 }
 
 /**
- * Prices an engine for a shard that takes `shardMs` on an idle one.
+ * Prices an engine for a shard that takes `shardMs` on an idle engine.
  *
  * @example
  * pricePrefill(candidate, 190, figures, performance.now()).helperInterference;
@@ -135,8 +135,11 @@
     estimateDecodeMs(load.decoding.length, load.contextTokens, engine) *
     slowdown;
   const startMs = load.waitMs + load.lagMs + decodeMs;
-  // An iteration with an own prompt also takes what the next one would prefill.
-  const besideMs = isDecoding ? (load.iterationPrefillsMs[0] ?? 0) : 0;
+  // An iteration with a prompt that this engine decodes also includes the
+  // prefill planned for the next iteration.
+  const nextIterationPrefillMs = isDecoding
+    ? (load.iterationPrefillsMs[0] ?? 0)
+    : 0;
   const queueInterference = estimateQueueInterference(
     load,
     prefillMs + decodeMs,
@@ -150,16 +153,19 @@
   const helperDecodeInterference =
     estimateDecodeInterference(load, decodeMs, prefillMs) + pendingInterference;
   let helperInterference = helperDecodeInterference;
-  for (const one of queueInterference.values()) helperInterference += one;
+  for (const loss of queueInterference.values()) helperInterference += loss;
   return {
     candidate,
     shardMs,
     helperDoneMs: startMs + prefillMs,
-    ownDoneMs: startMs + prefillMs + besideMs,
+    decoderDoneMs: startMs + prefillMs + nextIterationPrefillMs,
     helperDecodeInterference,
-    ownDecodeInterference:
-      estimateDecodeInterference(load, decodeMs, prefillMs + besideMs) +
-      pendingInterference,
+    decoderDecodeInterference:
+      estimateDecodeInterference(
+        load,
+        decodeMs,
+        prefillMs + nextIterationPrefillMs,
+      ) + pendingInterference,
     queueInterference,
     helperInterference,
   };
--- a/packages/direct/src/placement/prompt-placer.ts
+++ b/packages/direct/src/placement/prompt-placer.ts
@@ -1,8 +1,8 @@
 /**
- * Places streams on engines: collects candidates, chooses among them, and
- * updates the load tracker and the peers.
+ * Places streams on engines: collects the candidate engines, chooses among
+ * them, and informs the load tracker and the peers.
  */
-import {isEverFitting} from './kv-cache.js';
+import {isWithinIdleKvCapacity} from './kv-cache.js';
 import {chooseSendTime} from './choose-send-time.js';
 import {
   MAX_PREFILL_ENGINES,
@@ -17,17 +17,17 @@
 import type {PromptChoice, PromptDemand} from './prompt-types.js';
 import type {Candidate} from './price-prefill.js';
 
-/** Announces placements to other gates. */
+/** Announces the placements of this gate to its peers. */
 export abstract class PlacementAnnouncer {
-  /** A stream was placed. */
+  /** Announces that a stream was placed. */
   abstract announcePlaced(placement: Placement): void;
-  /** Its first token has come. */
+  /** Announces that the first token of a stream was received. */
   abstract announceBegun(key: string): void;
-  /** It has ended. */
+  /** Announces that a stream has ended. */
   abstract announceEnded(key: string): void;
 }
 
-/** A placed stream; it holds its slot until released. */
+/** A placed stream, which occupies its slot until it is released. */
 export class PlacedPrompt {
   private isReleased = false;
 
@@ -41,18 +41,20 @@
     private readonly readNow: () => number,
   ) {}
 
-  /** Records the first token: prefill has ended. */
+  /** Records that the first token was received, so that prefill has ended. */
   markBegun(): void {
     this.tracker.markBegun(this.key, this.readNow());
     this.announcer.announceBegun(this.key);
   }
 
-  /** True while its prefill is expected to be under way or queued. */
+  /** True while the prefill is expected to be running or queued. */
   isPrefilling(): boolean {
-    return this.tracker.countPrefillLeftMs(this.key, this.readNow()) > 0;
+    return (
+      this.tracker.estimateRemainingPrefillMs(this.key, this.readNow()) > 0
+    );
   }
 
-  /** Releases the slot; further calls change nothing. */
+  /** Releases the slot; further calls have no effect. */
   release(): void {
     if (this.isReleased) return;
     this.isReleased = true;
@@ -61,29 +63,30 @@
   }
 }
 
-/** A prompt that is better sent later. */
+/** Result for a prompt that should be sent later. */
 export interface Deferral {
-  /** When to choose again, in ms. */
+  /** Delay until engines are to be chosen again, in ms. */
   readonly waitMs: number;
   /** Predicted time to first token, in ms from now. */
   readonly predictedTtftMs: number;
 }
 
-/** Result of a placement. */
+/** Result of an attempt to place a prompt. */
 export type PlacementOutcome = PlacedPrompt | Deferral | 'full' | 'none';
 
-/** What a request needs of the engines. */
+/** Requirements of a request for engines. */
 export interface PromptRequest {
   readonly service: string;
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
-  /** Objective of the first token, and what is left of it, in ms. */
+  /** Objective for the time to first token, in ms. */
   readonly objectiveMs: number;
+  /** Time left of that objective, in ms; negative once it is missed. */
   readonly objectiveLeftMs: number;
   readonly itlObjectiveMs: number;
 }
 
-/** Dependencies of a placer. */
+/** Dependencies of a prompt placer. */
 export interface PromptPlacerOptions {
   readonly owner: string;
   readonly zone: string;
@@ -96,23 +99,23 @@
 }
 
 /**
- * The placer of one gate.
+ * Places the prompts of one gate on engines.
  *
  * @example
  * const placed = placer.place(request, engine, new Set());
  */
 export class PromptPlacer {
-  private lastNumber = 0;
+  private lastPlacementNumber = 0;
 
   constructor(private readonly options: PromptPlacerOptions) {}
 
   /**
-   * Places a stream.
+   * Places a stream on engines that are not in `tried`.
    *
-   * @param mayOverfill - Places it even if all slots are taken: it then waits
-   *   in the engine's own queue.
-   * @returns `full` if all slots or all KV cache are taken, `none` if even
-   *   idle engines could not take it.
+   * @param mayOverfill - Places the stream even if all slots are taken; it then
+   *   waits in the queue of the engine.
+   * @returns `full` if no slot or not enough KV cache is free, `none` if even
+   *   idle engines could not hold the prompt.
    */
   place(
     request: PromptRequest,
@@ -134,14 +137,19 @@
       now,
     );
     if (timed === undefined)
-      return isEverFitting(demand, engine, targets.length, MAX_PREFILL_ENGINES)
+      return isWithinIdleKvCapacity(
+        demand,
+        engine,
+        targets.length,
+        MAX_PREFILL_ENGINES,
+      )
         ? 'full'
         : 'none';
     const {choice, waitMs} = timed;
     if (waitMs > 0) return {waitMs, predictedTtftMs: choice.predictedTtftMs};
     const {active} = tracker.describe(choice.decoder, now);
     if (!mayOverfill && active >= engine.slots) return 'full';
-    const key = `${owner}#${++this.lastNumber}`;
+    const key = `${owner}#${++this.lastPlacementNumber}`;
     const placement = buildPlacement(key, choice, demand, now);
     tracker.add(placement);
     announcer.announcePlaced(placement);
@@ -160,7 +168,7 @@
     );
   }
 
-  /** Says whether an engine that is not in `tried` has a free slot. */
+  /** Checks whether an engine that is not in `tried` has a free slot. */
   isSlotFree(
     service: string,
     engine: EngineFigures,
--- a/packages/direct/src/placement/prompt-types.ts
+++ b/packages/direct/src/placement/prompt-types.ts
@@ -1,25 +1,25 @@
-/** The prompt to place, and the engines chosen for it. */
+/** Types of a prompt to place and of the engines chosen for it. */
 import type {KvReservation, PrefillShard} from './load-tracker.js';
 
-/** The prompt to place. */
+/** Requirements of a prompt that is to be placed. */
 export interface PromptDemand {
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
-  /** Objective of the first token, in ms. */
+  /** Objective for the time to first token, in ms. */
   readonly objectiveMs: number;
-  /** What is left of it, in ms; negative once it is missed. */
+  /** Time left of that objective, in ms; negative once it is missed. */
   readonly objectiveLeftMs: number;
   readonly itlObjectiveMs: number;
   readonly value: number;
 }
 
-/** The chosen engines. */
+/** Engines chosen for a prompt. */
 export interface PromptChoice {
   readonly decoder: string;
   readonly shards: readonly PrefillShard[];
-  /** KV cache to reserve on helpers. */
+  /** KV cache to reserve on helper engines. */
   readonly reservations: readonly KvReservation[];
-  /** KV cache on the decoding engine, in tokens. */
+  /** KV cache used on the decoding engine, in tokens. */
   readonly kvTokens: number;
   /** Prefill queue of the decoding engine before this prompt, in ms. */
   readonly backlogMs: number;
