--- a/packages/direct/src/admission/admission-queue.test.ts
+++ b/packages/direct/src/admission/admission-queue.test.ts
@@ -3,10 +3,10 @@
 import {createAdmissionQueue} from './admission-queue.js';
 import type {QueueEntry} from './admission-queue.js';
 
-/** A queue whose clock and slots the test controls. */
+/** Test harness: an admission queue with controllable clock and free slots. */
 class QueueBench {
   now = 0;
-  free = 0;
+  freeSlots = 0;
   readonly order: string[] = [];
   readonly queue;
   readonly signal = new AbortController().signal;
@@ -25,8 +25,8 @@
       objectiveMs,
       promptTokens: objectiveMs,
       tryPlace: () => {
-        if (this.free === 0) return false;
-        this.free--;
+        if (this.freeSlots === 0) return false;
+        this.freeSlots--;
         this.order.push(name);
         return true;
       },
@@ -35,10 +35,10 @@
   }
 }
 
-describe('admission queue', () => {
-  it('refuses at once what would wait too long', async () => {
-    // Guards against callers who wait although the queue cannot serve them in
-    // time.
+describe('AdmissionQueue', () => {
+  it('refuses a stream at once if its estimated wait exceeds its limit', async () => {
+    // Guards against callers that wait in the queue although their stream
+    // cannot get a slot in time.
     const bench = new QueueBench(176);
     const waits = Array.from({length: 30}, () => bench.enter('x', 300));
     const refused = await Promise.race([
@@ -52,16 +52,16 @@
     expect(bench.queue.length).toEqual(0);
   });
 
-  it('lets short streams pass, and a long one that has waited pass them', async () => {
+  it('places the stream with the earliest wait limit first and refuses expired ones', async () => {
     const bench = new QueueBench(10_000);
     const long = bench.enter('long', 3000);
     const first = bench.enter('short-1', 300);
-    bench.free = 1;
+    bench.freeSlots = 1;
     bench.queue.advance();
     expect(bench.order).toEqual(['short-1']);
     bench.now = 1000;
     const second = bench.enter('short-2', 300);
-    bench.free = 1;
+    bench.freeSlots = 1;
     bench.queue.advance();
     expect(bench.order).toEqual(['short-1', 'long']);
     expect([await first, await long]).toEqual(['placed', 'placed']);
@@ -70,9 +70,9 @@
     expect(await second).toEqual('refused');
   });
 
-  it('lets a small prompt pass a large one that finds no KV cache', async () => {
-    // Guards against head-of-line blocking by a prompt that needs much KV
-    // cache.
+  it('places a small prompt before a large one that does not fit the KV cache', async () => {
+    // Guards against head-of-line blocking by a prompt that needs more KV cache
+    // than is free.
     const bench = new QueueBench(10_000);
     const enter = (promptTokens: number, isFitting: boolean) =>
       bench.queue.enter(
@@ -93,22 +93,22 @@
     expect(await large).toEqual('refused');
   });
 
-  it('lets go of a caller that has left', async () => {
+  it('removes a waiting stream when its caller aborts the request', async () => {
     const bench = new QueueBench(10_000);
-    const leave = new AbortController();
+    const callerAbort = new AbortController();
     const entry = {
       arrivedAt: 0,
       objectiveMs: 300,
       promptTokens: 1,
       tryPlace: () => false,
     };
-    const waiting = bench.queue.enter(entry, leave.signal);
-    leave.abort();
+    const waiting = bench.queue.enter(entry, callerAbort.signal);
+    callerAbort.abort();
     expect(await waiting).toEqual('left');
     expect(bench.queue.length).toEqual(0);
   });
 
-  it('learns how long slots are held', () => {
+  it('lowers the estimated wait when streams hold slots for less time', () => {
     const bench = new QueueBench(100);
     const before = bench.queue.estimateWaitMs();
     for (let i = 0; i < 200; i++) bench.queue.recordSlotTime(500);
--- a/packages/direct/src/admission/admission-queue.ts
+++ b/packages/direct/src/admission/admission-queue.ts
@@ -1,131 +1,136 @@
 /**
- * Bounded queue of streams that wait for a slot of an engine. It answers a
- * burst of short streams above the capacity: an unbounded queue would outlive
- * the burst and make every answer late.
+ * Bounded queue of streams that wait for a slot of an engine. It absorbs bursts
+ * of short streams above the capacity. An unbounded queue would stay filled
+ * after the burst and make every answer late.
  */
 
 /**
- * Share of its objective that a stream may wait; the rest is needed for
- * prefill.
+ * Share of its objective that a stream may wait in the queue; the rest is
+ * needed for prefill.
  */
 const WAIT_SHARE = 0.35;
 
-/** How often the queue is checked while no slot is released, in ms. */
+/** Interval at which the queue is checked if no slot is released, in ms. */
 const POLL_MS = 20;
 
 /**
- * Weight of the newest stream in the moving average of the time that a slot is
- * held.
+ * Weight of the newest stream in the moving average of the time that a stream
+ * holds its slot.
  */
 const SLOT_TIME_WEIGHT = 0.05;
 
-/** Assumed time that a slot is held until streams have ended, in ms. */
+/** Assumed slot holding time until the first streams have ended, in ms. */
 const INITIAL_SLOT_TIME_MS = 2000;
 
-/** How a wait ended. */
+/**
+ * Outcome of waiting in the queue: the stream got a slot, was refused, or its
+ * caller left.
+ */
 export type QueueOutcome = 'placed' | 'refused' | 'left';
 
-/** A stream that wants a slot. */
+/** A stream that needs a slot. */
 export interface QueueEntry {
-  /** When the stream arrived, on the monotonic clock, in ms. */
+  /** Time of arrival on the monotonic clock, in ms. */
   readonly arrivedAt: number;
   readonly objectiveMs: number;
-  /** Tokens of the prompt, which need KV cache besides a slot. */
+  /** Tokens of the prompt, for which KV cache is needed besides a slot. */
   readonly promptTokens: number;
-  /** Takes a slot if one is free. */
+  /** Places the stream if a slot and KV cache are free; false otherwise. */
   tryPlace(): boolean;
 }
 
-/** Dependencies of a queue. */
+/** Dependencies of an admission queue. */
 export interface AdmissionQueueOptions {
-  /** Slots of all engines together. */
+  /** Counts the slots of all engines of the service. */
   readonly countSlots: () => number;
-  /** Gates that compete for the same slots, this one included. */
+  /** Counts the gates that compete for these slots, including this gate. */
   readonly countGates: () => number;
   readonly readNow: () => number;
 }
 
-interface Waiting {
+interface QueuedStream {
   readonly entry: QueueEntry;
-  readonly giveUpAt: number;
+  readonly refuseAt: number;
   readonly settle: (outcome: QueueOutcome) => void;
 }
 
 /**
- * The queue of one gate for one service.
+ * Admission queue of one gate for one service.
  *
  * @example
  * const outcome = await queue.enter(entry, left);
  */
 export class AdmissionQueue {
-  private waiting: Waiting[] = [];
-  private slotTimeMs = INITIAL_SLOT_TIME_MS;
+  private waiting: QueuedStream[] = [];
+  private averageSlotTimeMs = INITIAL_SLOT_TIME_MS;
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: AdmissionQueueOptions) {}
 
-  /** Streams in the queue. */
+  /** Number of streams in the queue. */
   get length(): number {
     return this.waiting.length;
   }
 
-  /** Predicted wait of one more stream, in ms. */
+  /** Estimates the wait of one more stream, in ms. */
   estimateWaitMs(): number {
     const slots = Math.max(1, this.options.countSlots());
-    const ahead = (this.waiting.length + 1) * this.options.countGates();
-    return (ahead * this.slotTimeMs) / slots;
+    const competingStreams =
+      (this.waiting.length + 1) * this.options.countGates();
+    return (competingStreams * this.averageSlotTimeMs) / slots;
   }
 
-  /** Records how long a stream held its slot. */
+  /** Records the time that a stream held its slot, in ms. */
   recordSlotTime(ms: number): void {
-    this.slotTimeMs += (ms - this.slotTimeMs) * SLOT_TIME_WEIGHT;
+    this.averageSlotTimeMs += (ms - this.averageSlotTimeMs) * SLOT_TIME_WEIGHT;
   }
 
   /**
-   * Waits for a slot. A stream that cannot be served in time is refused at
-   * once.
+   * Waits for a slot. A stream whose estimated wait exceeds its limit is
+   * refused at once.
    *
-   * @param signal - Aborted when the caller leaves.
+   * @param signal - Aborted when the caller cancels or disconnects.
    */
   enter(entry: QueueEntry, signal: AbortSignal): Promise<QueueOutcome> {
     const now = this.options.readNow();
-    const giveUpAt = entry.arrivedAt + entry.objectiveMs * WAIT_SHARE;
-    if (now + this.estimateWaitMs() > giveUpAt)
+    const refuseAt = entry.arrivedAt + entry.objectiveMs * WAIT_SHARE;
+    if (now + this.estimateWaitMs() > refuseAt)
       return Promise.resolve('refused');
     return new Promise(resolve => {
-      const waiting: Waiting = {
+      const waiting: QueuedStream = {
         entry,
-        giveUpAt,
+        refuseAt,
         settle: outcome => {
           this.remove(waiting);
           resolve(outcome);
         },
       };
-      // Earliest deadline first: short streams pass long ones, until those have
-      // waited as well.
+      // Earliest deadline first: short streams overtake long ones until the
+      // deadline of the long ones is earlier.
       this.waiting.push(waiting);
-      this.waiting.sort((a, b) => a.giveUpAt - b.giveUpAt);
+      this.waiting.sort((a, b) => a.refuseAt - b.refuseAt);
       signal.addEventListener('abort', () => waiting.settle('left'));
       this.timer ??= setInterval(() => this.advance(), POLL_MS);
     });
   }
 
-  /** Hands out free slots. */
+  /** Refuses streams that have waited too long and places the next streams. */
   advance(): void {
     const now = this.options.readNow();
     for (const waiting of [...this.waiting])
-      if (waiting.giveUpAt <= now) waiting.settle('refused');
-    // A prompt without KV cache must not block smaller ones.
-    let tooLarge = Infinity;
+      if (waiting.refuseAt <= now) waiting.settle('refused');
+    // Smaller prompts may overtake a prompt that finds too little free KV
+    // cache.
+    let blockedPromptTokens = Infinity;
     for (const waiting of [...this.waiting]) {
       const {entry} = waiting;
-      if (entry.promptTokens >= tooLarge) continue;
+      if (entry.promptTokens >= blockedPromptTokens) continue;
       if (entry.tryPlace()) waiting.settle('placed');
-      else tooLarge = entry.promptTokens;
+      else blockedPromptTokens = entry.promptTokens;
     }
   }
 
-  private remove(waiting: Waiting): void {
+  private remove(waiting: QueuedStream): void {
     this.waiting = this.waiting.filter(other => other !== waiting);
     if (this.waiting.length > 0 || this.timer === undefined) return;
     clearInterval(this.timer);
@@ -134,7 +139,7 @@
 }
 
 /**
- * The queues of one gate, one for each service of engines.
+ * Admission queues of one gate, one for each service of engines.
  *
  * @example
  * queues.find('chat').enter(entry, signal);
@@ -146,7 +151,7 @@
     private readonly createQueue: (service: string) => AdmissionQueue,
   ) {}
 
-  /** Finds the queue of a service. */
+  /** Finds the queue of a service; creates it on first use. */
   find(service: string): AdmissionQueue {
     let queue = this.queues.get(service);
     if (queue === undefined) {
@@ -156,7 +161,7 @@
     return queue;
   }
 
-  /** Hands out free slots. */
+  /** Advances every queue that is not empty. */
   advance(): void {
     for (const queue of this.queues.values())
       if (queue.length > 0) queue.advance();
@@ -164,10 +169,10 @@
 }
 
 /**
- * Creates an empty queue.
+ * Creates an empty admission queue.
  *
  * @example
- * const line = createAdmissionQueue({countSlots: () => 176, countGates: () => 5, readNow});
+ * const queue = createAdmissionQueue({countSlots: () => 176, countGates: () => 5, readNow});
  */
 export function createAdmissionQueue(
   options: AdmissionQueueOptions,
