--- a/packages/direct/src/retry/shared-retry-budget.test.ts
+++ b/packages/direct/src/retry/shared-retry-budget.test.ts
@@ -5,9 +5,10 @@
 
 const BOUNDS = {ratio: 0.2, slack: 104, windowMs: 10_000};
 
-describe('shared retry budget', () => {
-  it('keeps all gates together within the bound of any window', () => {
-    // Guards against gates that together double the load of a failing service.
+describe('SharedRetryBudget', () => {
+  it('keeps the retries of all gates within the bound of any window', () => {
+    // Guards against gates whose combined retries double the load of a failing
+    // service.
     const load = fc.record({
       gates: fc.integer({min: 1, max: 12}),
       steps: fc.array(fc.record({gate: fc.nat(11), waitMs: fc.nat(300)}), {
@@ -39,7 +40,7 @@
     );
   });
 
-  it('leaves a quiet gate enough for the death of a target', () => {
+  it('grants an idle gate 15 retries, enough for the failure of a target', () => {
     const budget = createSharedRetryBudget(BOUNDS, () => 5);
     let granted = 0;
     while (budget.claimRetry('s', 0)) granted++;
--- a/packages/direct/src/retry/shared-retry-budget.ts
+++ b/packages/direct/src/retry/shared-retry-budget.ts
@@ -1,61 +1,63 @@
 /**
- * This gate's share of the retry budget of all gates. The ratio applies to its
- * own requests; the fixed number is divided by the gates heard of lately, so
- * that the sum stays within the bound while gates are cut off from each other.
+ * Share of one gate in the retry budget of all gates. The ratio applies to the
+ * requests of this gate; the fixed number of retries is divided by the number
+ * of gates heard from recently, so that the sum stays within the bound while
+ * gates are partitioned from each other.
  */
 
 /**
- * Share of the fixed number that is ever spent: leaves room for a gate that
- * joins.
+ * Share of the fixed number of retries that the known gates may spend; the rest
+ * is left for a gate that joins.
  */
-const SLACK_SHARE = 0.75;
+const SPENDABLE_SLACK_SHARE = 0.75;
 
-/** Bounds of the budget. */
+/** Bounds of the retry budget over all gates. */
 export interface RetryBounds {
-  /** Retries for each request. */
+  /** Allowed retries per request. */
   readonly ratio: number;
-  /** Retries beyond the ratio, over all gates, in one window. */
+  /** Fixed number of retries beyond the ratio, of all gates in one window. */
   readonly slack: number;
   readonly windowMs: number;
 }
 
-interface Window {
+interface BudgetWindow {
   readonly requests: number[];
   readonly retries: number[];
 }
 
 /**
- * The budget of one gate.
+ * Retry budget of one gate, per service.
  *
  * @example
  * budget.recordRequest('orders', now);
  * if (budget.claimRetry('orders', now)) send();
  */
 export class SharedRetryBudget {
-  private readonly windows = new Map<string, Window>();
+  private readonly windows = new Map<string, BudgetWindow>();
 
   constructor(
     private readonly bounds: RetryBounds,
     private readonly countGates: () => number,
   ) {}
 
-  /** Records a request for `service`. */
+  /** Records a request to `service`, which increases its budget. */
   recordRequest(service: string, now: number): void {
     this.readWindow(service, now).requests.push(now);
   }
 
-  /** Spends one retry; false if the window has none left. */
+  /** Claims one retry; false if the budget of the window is spent. */
   claimRetry(service: string, now: number): boolean {
     const window = this.readWindow(service, now);
     const slack =
-      (this.bounds.slack * SLACK_SHARE) / Math.max(1, this.countGates());
+      (this.bounds.slack * SPENDABLE_SLACK_SHARE) /
+      Math.max(1, this.countGates());
     const allowed = this.bounds.ratio * window.requests.length + slack;
     if (window.retries.length + 1 > allowed) return false;
     window.retries.push(now);
     return true;
   }
 
-  private readWindow(service: string, now: number): Window {
+  private readWindow(service: string, now: number): BudgetWindow {
     let window = this.windows.get(service);
     if (window === undefined) {
       window = {requests: [], retries: []};
@@ -69,9 +71,10 @@
 }
 
 /**
- * Creates a budget.
+ * Creates a retry budget.
  *
- * @param countGates - Gates that share it, this one included.
+ * @param countGates - Counts the gates that share the budget, including this
+ *   gate.
  * @example
  * const budget = createSharedRetryBudget({ratio: 0.2, slack: 104, windowMs: 10_000}, () => 5);
  */
