--- a/packages/direct/src/health/engine-slowdowns.ts
+++ b/packages/direct/src/health/engine-slowdowns.ts
@@ -12,7 +12,7 @@
 /** Interval at which an engine is polled, in ms. */
 const POLL_INTERVAL_MS = 1000;
 
-/** Age above which a report expires, in ms: three poll intervals. */
+/** Age above which a report expires, in ms: three intervals plus margin. */
 const REPORT_TTL_MS = 3200;
 
 /** Slowdown from which an engine counts as slow; lower values count as 1. */
