--- a/packages/direct/src/forward/attempt-chain.ts
+++ b/packages/direct/src/forward/attempt-chain.ts
@@ -19,21 +19,21 @@
   /** Placement of the newest attempt. */
   placed: PlacedPrompt | undefined;
   /** True while its engine is stalled. */
-  isSilent = false;
-  private readonly closing = new AbortController();
+  isStalled = false;
+  private readonly abortController = new AbortController();
 
   /** Aborted when the chain is closed. */
   get signal(): AbortSignal {
-    return this.closing.signal;
+    return this.abortController.signal;
   }
 
   get isClosed(): boolean {
-    return this.closing.signal.aborted;
+    return this.abortController.signal.aborted;
   }
 
   /** Cancels the attempt under way and the search for engines. */
   close(): void {
-    this.closing.abort();
+    this.abortController.abort();
     this.attempt?.cancel();
   }
 }
--- a/packages/direct/src/forward/call-forwarder.ts
+++ b/packages/direct/src/forward/call-forwarder.ts
@@ -6,30 +6,30 @@
 import {ExchangeError} from '../errors.js';
 import {findFraming} from './exchange.js';
 import {readVerdict} from './judge-answer.js';
-import {chooseReturnMs} from './retry-after.js';
+import {chooseRetryAfterMs} from './retry-after.js';
 import type {Target} from '../types.js';
-import type {AnswerFraming, OwnAnswerReason} from './caller-response.js';
+import type {ResponseFraming, GateErrorReason} from './caller-response.js';
 import type {ForwardContext} from './context.js';
 import type {Exchange} from './exchange.js';
 import type {GateRequest} from './request.js';
 
 /** Share of the objective after which a safe call is hedged. */
-const HEDGE_SHARE = 0.5;
+const HEDGE_DELAY_SHARE = 0.5;
 
 /** Attempts whose connection could not be opened, at most. */
-const MAX_UNSENT_TRIES = 4;
+const MAX_UNSENT_ATTEMPTS = 4;
 
 /** A target's complete answer. */
-interface WholeAnswer {
+interface CompleteResponse {
   readonly status: number;
   readonly headers: readonly string[];
   readonly body: Buffer;
-  readonly framing: AnswerFraming;
+  readonly framing: ResponseFraming;
 }
 
 type AttemptResult =
-  | {readonly kind: 'answer'; readonly answer: WholeAnswer}
-  | {readonly kind: 'target-failure'; readonly answer: WholeAnswer}
+  | {readonly kind: 'answer'; readonly answer: CompleteResponse}
+  | {readonly kind: 'target-failure'; readonly answer: CompleteResponse}
   | {readonly kind: 'not-run'}
   | {readonly kind: 'failed'; readonly error: ExchangeError};
 
@@ -37,13 +37,13 @@
 class CallRun {
   private readonly tried = new Set<string>();
   private readonly open = new Set<Exchange>();
-  private sends = 0;
-  private unsentTries = 0;
+  private sentAttempts = 0;
+  private unsentAttempts = 0;
   private mayHaveRun = false;
-  private spareAnswer: WholeAnswer | undefined;
+  private fallbackResponse: CompleteResponse | undefined;
   private isSettled = false;
-  private expiry: NodeJS.Timeout | undefined;
-  private hedge: NodeJS.Timeout | undefined;
+  private deadlineTimer: NodeJS.Timeout | undefined;
+  private hedgeTimer: NodeJS.Timeout | undefined;
 
   constructor(
     private readonly context: ForwardContext,
@@ -52,13 +52,13 @@
 
   start(): void {
     const {request, context} = this;
-    request.caller.onLeave(() => this.settle('caller_left'));
+    request.caller.onDisconnect(() => this.settle('caller_left'));
     const leftMs = request.expiresAt - context.readNow();
-    this.expiry = setTimeout(() => this.expire(), leftMs);
+    this.deadlineTimer = setTimeout(() => this.expire(), leftMs);
     if (request.route.kind === 'safe')
-      this.hedge = setTimeout(
+      this.hedgeTimer = setTimeout(
         () => this.tryNext('slow'),
-        request.route.objectiveMs * HEDGE_SHARE,
+        request.route.objectiveMs * HEDGE_DELAY_SHARE,
       );
     this.tryNext('first');
   }
@@ -66,17 +66,18 @@
   private tryNext(why: string): void {
     if (this.isSettled) return;
     const {context, request} = this;
-    const isRepeat = this.sends > 0;
-    if (this.sends >= request.route.maxAttempts) return this.giveUpIfIdle(why);
+    const isRetry = this.sentAttempts > 0;
+    if (this.sentAttempts >= request.route.maxAttempts)
+      return this.giveUpIfIdle(why);
     const target = context.calls.choose(request.service, this.tried);
     if (target === undefined) return this.giveUpIfIdle(why);
     if (
-      isRepeat &&
+      isRetry &&
       !context.budget.claimRetry(request.service, context.readNow())
     )
       return this.giveUpIfIdle('retry_budget_spent');
     this.tried.add(target.id);
-    this.sends++;
+    this.sentAttempts++;
     void this.runAttempt(target, why);
   }
 
@@ -156,20 +157,21 @@
     result: AttemptResult,
     why: string,
   ): void {
-    if (result.kind === 'answer') return this.sendAnswer(result.answer, target);
+    if (result.kind === 'answer')
+      return this.sendResponse(result.answer, target);
     this.context.counters.add(`call.attempt_${result.kind}`);
     this.context.log.warn('attempt_failed', {
       requestId: this.request.facts.requestId,
       target: target.id,
-      attempt: this.sends,
+      attempt: this.sentAttempts,
       why,
       outcome: result.kind === 'failed' ? result.error.fault : result.kind,
     });
     if (result.kind === 'not-run') return this.tryNext('not_run');
     if (result.kind === 'target-failure') {
-      this.spareAnswer = result.answer;
+      this.fallbackResponse = result.answer;
       if (this.request.route.kind === 'safe') return this.tryNext('failure');
-      return this.sendAnswer(result.answer, target);
+      return this.sendResponse(result.answer, target);
     }
     if (!result.error.wasSent) return this.tryUnsentAgain();
     this.mayHaveRun = true;
@@ -179,16 +181,17 @@
 
   /** No byte left this host, so the attempt does not count. */
   private tryUnsentAgain(): void {
-    this.sends--;
-    if (++this.unsentTries < MAX_UNSENT_TRIES) return this.tryNext('unsent');
+    this.sentAttempts--;
+    if (++this.unsentAttempts < MAX_UNSENT_ATTEMPTS)
+      return this.tryNext('unsent');
     this.giveUpIfIdle('unsent');
   }
 
   /** Ends the call once no attempt is under way. */
   private giveUpIfIdle(why: string): void {
     if (this.open.size > 0 || this.isSettled) return;
-    if (this.spareAnswer !== undefined)
-      return this.sendAnswer(this.spareAnswer, undefined);
+    if (this.fallbackResponse !== undefined)
+      return this.sendResponse(this.fallbackResponse, undefined);
     this.context.log.warn('request_given_up', {
       requestId: this.request.facts.requestId,
       why,
@@ -202,27 +205,31 @@
     this.refuse(504, 'timeout');
   }
 
-  private sendAnswer(answer: WholeAnswer, target: Target | undefined): void {
+  private sendResponse(
+    answer: CompleteResponse,
+    target: Target | undefined,
+  ): void {
     if (this.isSettled) return;
     const {status, headers, body, framing} = answer;
-    this.request.caller.sendWhole(status, headers, body, framing);
+    this.request.caller.sendComplete(status, headers, body, framing);
     this.settle('answered', target);
   }
 
-  private refuse(status: number, reason: OwnAnswerReason): void {
+  private refuse(status: number, reason: GateErrorReason): void {
     if (this.isSettled) return;
     const {context, request} = this;
     const leftMs = request.expiresAt - context.readNow();
-    const returnMs = status === 503 ? chooseReturnMs(0, leftMs) : undefined;
-    request.caller.refuse(status, reason, returnMs);
+    const retryAfterMs =
+      status === 503 ? chooseRetryAfterMs(0, leftMs) : undefined;
+    request.caller.refuse(status, reason, retryAfterMs);
     this.settle(reason);
   }
 
   private settle(outcome: string, target?: Target): void {
     if (this.isSettled) return;
     this.isSettled = true;
-    clearTimeout(this.expiry);
-    clearTimeout(this.hedge);
+    clearTimeout(this.deadlineTimer);
+    clearTimeout(this.hedgeTimer);
     for (const exchange of this.open) exchange.cancel();
     const {context, request} = this;
     const ms = context.readNow() - request.arrivedAt;
--- a/packages/direct/src/forward/caller-response.ts
+++ b/packages/direct/src/forward/caller-response.ts
@@ -45,10 +45,10 @@
  * How the end of an answer is marked: by its length or chunks, or by the end of
  * the connection.
  */
-export type AnswerFraming = 'framed' | 'by-close';
+export type ResponseFraming = 'framed' | 'by-close';
 
 /** Why the gate answers itself. */
-export type OwnAnswerReason =
+export type GateErrorReason =
   | 'no_configuration'
   | 'configuration_stale'
   | 'unknown_route'
@@ -72,8 +72,8 @@
   /** Status sent to the caller; absent before the head. */
   status: number | undefined;
   private isUnframed = false;
-  private readonly leaveListeners: Array<() => void> = [];
-  private hasLeft = false;
+  private readonly disconnectListeners: Array<() => void> = [];
+  private hasDisconnected = false;
 
   constructor(
     private readonly response: ServerResponse,
@@ -83,27 +83,27 @@
     response.on('error', () => undefined);
     response.on('close', () => {
       if (response.writableFinished) return;
-      this.hasLeft = true;
-      for (const listener of this.leaveListeners.splice(0)) listener();
+      this.hasDisconnected = true;
+      for (const listener of this.disconnectListeners.splice(0)) listener();
     });
   }
 
   /** True if the caller's connection closed before the answer was complete. */
-  get isGone(): boolean {
-    return this.hasLeft;
+  get isDisconnected(): boolean {
+    return this.hasDisconnected;
   }
 
   /** Registers a listener for the caller's disconnect. */
-  onLeave(listener: () => void): void {
-    if (this.hasLeft) listener();
-    else this.leaveListeners.push(listener);
+  onDisconnect(listener: () => void): void {
+    if (this.hasDisconnected) listener();
+    else this.disconnectListeners.push(listener);
   }
 
   /** Starts a target's answer; its body follows. */
-  start(status: number, headers: RawHeaders, framing: AnswerFraming): void {
+  start(status: number, headers: RawHeaders, framing: ResponseFraming): void {
     this.status = status;
     const kept = stripHopByHop(headers);
-    this.closeAfter(kept, framing);
+    this.addConnectionClose(kept, framing);
     this.response.sendDate = false;
     this.response.writeHead(status, kept);
     this.response.flushHeaders();
@@ -120,11 +120,11 @@
   }
 
   /** Sends a target's complete answer. */
-  sendWhole(
+  sendComplete(
     status: number,
     headers: RawHeaders,
     body: Buffer,
-    framing: AnswerFraming,
+    framing: ResponseFraming,
   ): void {
     this.status = status;
     const kept = stripHopByHop(headers);
@@ -133,7 +133,7 @@
     );
     if (!hasLength && framing === 'framed')
       kept.push('Content-Length', String(body.length));
-    this.closeAfter(kept, framing);
+    this.addConnectionClose(kept, framing);
     this.response.sendDate = false;
     this.response.writeHead(status, kept);
     this.response.end(body);
@@ -144,7 +144,7 @@
    *
    * @param retryAfterMs - Absent if a retry would not help.
    */
-  refuse(status: number, reason: OwnAnswerReason, retryAfterMs?: number): void {
+  refuse(status: number, reason: GateErrorReason, retryAfterMs?: number): void {
     if (this.status !== undefined) {
       this.drop();
       return;
@@ -176,7 +176,10 @@
    * without a length stays unframed, as the gate cannot know that it is
    * complete.
    */
-  private closeAfter(headers: string[], framing: AnswerFraming): void {
+  private addConnectionClose(
+    headers: string[],
+    framing: ResponseFraming,
+  ): void {
     this.isUnframed = framing === 'by-close';
     if (this.isUnframed) this.response.useChunkedEncodingByDefault = false;
     if (this.isUnframed || this.isStopping())
--- a/packages/direct/src/forward/event-splitter.ts
+++ b/packages/direct/src/forward/event-splitter.ts
@@ -19,17 +19,19 @@
  * splitter.push(Buffer.from('id: 1\ndata: a\n\nid')); // one event
  */
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0);
+  private remainder: Buffer = Buffer.alloc(0);
 
   /** True if bytes of an incomplete event are buffered. */
   get hasPartialEvent(): boolean {
-    return this.rest.length > 0;
+    return this.remainder.length > 0;
   }
 
   /** Adds bytes and returns the events that they complete. */
   push(bytes: Buffer): readonly StreamEvent[] {
     let buffer =
-      this.rest.length === 0 ? bytes : Buffer.concat([this.rest, bytes]);
+      this.remainder.length === 0
+        ? bytes
+        : Buffer.concat([this.remainder, bytes]);
     const events: StreamEvent[] = [];
     let end = buffer.indexOf(BOUNDARY);
     while (end >= 0) {
@@ -38,7 +40,7 @@
       buffer = buffer.subarray(end + BOUNDARY.length);
       end = buffer.indexOf(BOUNDARY);
     }
-    this.rest = buffer;
+    this.remainder = buffer;
     return events;
   }
 }
--- a/packages/direct/src/forward/exchange.ts
+++ b/packages/direct/src/forward/exchange.ts
@@ -8,7 +8,7 @@
 import type {ClientRequest, IncomingMessage} from 'node:http';
 import type {ExchangeFault} from '../errors.js';
 import type {RawHeaders, Target} from '../types.js';
-import type {AnswerFraming} from './caller-response.js';
+import type {ResponseFraming} from './caller-response.js';
 
 /**
  * Connection timeout, in ms: above the round trip within a region, below the
@@ -32,7 +32,7 @@
 }
 
 /** Head of a target's answer; the body follows. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   readonly message: IncomingMessage;
 }
@@ -46,7 +46,7 @@
  */
 export class Exchange {
   /** Resolves with the head; rejects with an ExchangeError. */
-  readonly head: Promise<AnswerHead>;
+  readonly head: Promise<ResponseHead>;
   /** Absent if the head could not be written. */
   private readonly request: ClientRequest | undefined;
   private isConnected = false;
@@ -85,7 +85,7 @@
   }
 
   /** Reads the body; rejects with an ExchangeError if it is cut off. */
-  async *readBody({message}: AnswerHead): AsyncGenerator<Buffer> {
+  async *readBody({message}: ResponseHead): AsyncGenerator<Buffer> {
     try {
       yield* message as AsyncIterable<Buffer>;
     } catch (cause) {
@@ -95,7 +95,7 @@
   }
 
   /** Reads the whole body; rejects with an ExchangeError if it is cut off. */
-  async readWholeBody(head: AnswerHead): Promise<Buffer> {
+  async readWholeBody(head: ResponseHead): Promise<Buffer> {
     const parts: Buffer[] = [];
     for await (const part of this.readBody(head)) parts.push(part);
     return Buffer.concat(parts);
@@ -134,7 +134,7 @@
     });
   }
 
-  private waitForHead(request: ClientRequest): Promise<AnswerHead> {
+  private waitForHead(request: ClientRequest): Promise<ResponseHead> {
     return new Promise((resolve, reject) => {
       let hasHead = false;
       request.once('response', message => {
@@ -193,7 +193,7 @@
  * @example
  * findFraming(message); // 'framed'
  */
-export function findFraming(message: IncomingMessage): AnswerFraming {
+export function findFraming(message: IncomingMessage): ResponseFraming {
   const {headers} = message;
   const isFramed =
     headers['content-length'] !== undefined ||
--- a/packages/direct/src/forward/judge-answer.ts
+++ b/packages/direct/src/forward/judge-answer.ts
@@ -1,7 +1,7 @@
 /** Classifies the head of a target's answer. */
 import type {HeaderDialect} from '../ports.js';
 import type {AnswerFacts} from '../types.js';
-import type {AnswerHead} from './exchange.js';
+import type {ResponseHead} from './exchange.js';
 
 /** Verdict on a head. */
 export type HeadVerdict =
@@ -22,7 +22,7 @@
  * judgeHead(head, dialect.parseAnswer(head.message.headers), '9c41');
  */
 export function judgeHead(
-  head: AnswerHead,
+  head: ResponseHead,
   facts: AnswerFacts,
   requestId: string | undefined,
 ): HeadVerdict {
@@ -44,7 +44,7 @@
  * const {verdict, facts} = readVerdict(head, dialect, requestId);
  */
 export function readVerdict(
-  head: AnswerHead,
+  head: ResponseHead,
   dialect: HeaderDialect,
   requestId: string | undefined,
 ): {readonly verdict: HeadVerdict; readonly facts: AnswerFacts} {
--- a/packages/direct/src/forward/kv-lease.test.ts
+++ b/packages/direct/src/forward/kv-lease.test.ts
@@ -33,7 +33,7 @@
 
 /** An engine that sends bytes all the time. */
 const HEARD: LivenessCheck = {
-  isHeard: () => true,
+  isActive: () => true,
   ask: () => Promise.resolve(true),
 };
 
@@ -42,7 +42,7 @@
   isAnswering = true;
   asked = 0;
 
-  isHeard(): boolean {
+  isActive(): boolean {
     return false;
   }
 
--- a/packages/direct/src/forward/kv-lease.ts
+++ b/packages/direct/src/forward/kv-lease.ts
@@ -19,10 +19,10 @@
  * Consecutive polls that the engine may leave unanswered: later, the lease has
  * expired.
  */
-const MOST_MISSED = 2;
+const MAX_MISSED_POLLS = 2;
 
 /** One reservation. */
-export interface LeasedTicket {
+export interface LeasedReservation {
   readonly target: Target;
   readonly ticket: string;
 }
@@ -30,7 +30,7 @@
 /** Says whether the engine that decodes a prompt is alive. */
 export interface LivenessCheck {
   /** True if it has just sent bytes, for any request. */
-  isHeard(): boolean;
+  isActive(): boolean;
   /** Polls it; false if it does not answer in time. */
   ask(): Promise<boolean>;
 }
@@ -47,17 +47,17 @@
 export class KvLease {
   private readonly timer: NodeJS.Timeout;
   /** Renewals under way. */
-  private readonly renewals = new Set<Promise<LeasedTicket>>();
+  private readonly renewals = new Set<Promise<LeasedReservation>>();
   private isClosed = false;
-  private missed = 0;
+  private missedPolls = 0;
 
   constructor(
     private readonly reservations: KvReservations,
-    readonly tickets: readonly LeasedTicket[],
+    readonly tickets: readonly LeasedReservation[],
     private readonly tokens: ReadonlyMap<string, number>,
     private readonly liveness: LivenessCheck,
   ) {
-    this.timer = setInterval(() => this.handleDue(), RENEW_MS);
+    this.timer = setInterval(() => this.handleRenewalTimer(), RENEW_MS);
   }
 
   /** Finds the ticket of a reservation on `target`. */
@@ -77,12 +77,12 @@
       void renewal.then(held => this.release(held));
   }
 
-  private release({target, ticket}: LeasedTicket): void {
+  private release({target, ticket}: LeasedReservation): void {
     void this.reservations.release(target, ticket);
   }
 
-  private handleDue(): void {
-    if (this.liveness.isHeard()) this.renew();
+  private handleRenewalTimer(): void {
+    if (this.liveness.isActive()) this.renew();
     else void this.renewIfAlive();
   }
 
@@ -90,11 +90,11 @@
     const isAlive = await this.liveness.ask();
     if (this.isClosed) return;
     if (isAlive) this.renew();
-    else if (++this.missed >= MOST_MISSED) clearInterval(this.timer);
+    else if (++this.missedPolls >= MAX_MISSED_POLLS) clearInterval(this.timer);
   }
 
   private renew(): void {
-    this.missed = 0;
+    this.missedPolls = 0;
     for (const held of this.tickets) {
       const renewal = this.renewOne(held);
       this.renewals.add(renewal);
@@ -102,7 +102,7 @@
     }
   }
 
-  private async renewOne(held: LeasedTicket): Promise<LeasedTicket> {
+  private async renewOne(held: LeasedReservation): Promise<LeasedReservation> {
     const tokens = this.tokens.get(held.target.id) ?? 0;
     await this.reservations.reserve(held.target, held.ticket, tokens, LEASE_MS);
     return held;
@@ -126,22 +126,22 @@
 export async function openKvLease(
   reservations: KvReservations,
   name: string,
-  wishes: readonly KvRequest[],
+  kvRequests: readonly KvRequest[],
   liveness: LivenessCheck,
 ): Promise<KvLease | undefined> {
   const outcomes = await Promise.all(
-    wishes.map(({target, tokens}) =>
+    kvRequests.map(({target, tokens}) =>
       reservations.reserve(target, name, tokens, LEASE_MS),
     ),
   );
   if (outcomes.every(outcome => outcome === 'granted'))
     return new KvLease(
       reservations,
-      wishes.map(({target}) => ({target, ticket: name})),
-      new Map(wishes.map(({target, tokens}) => [target.id, tokens])),
+      kvRequests.map(({target}) => ({target, ticket: name})),
+      new Map(kvRequests.map(({target, tokens}) => [target.id, tokens])),
       liveness,
     );
-  wishes.forEach(({target}, i) => {
+  kvRequests.forEach(({target}, i) => {
     if (outcomes[i] !== 'refused') void reservations.release(target, name);
   });
   return undefined;
--- a/packages/direct/src/forward/open-exchanges.ts
+++ b/packages/direct/src/forward/open-exchanges.ts
@@ -28,11 +28,11 @@
     const exchange = openExchange(options);
     const open = {exchange, target};
     const address = formatAddress(target);
-    const sharing = this.byAddress.get(address) ?? new Set();
-    this.byAddress.set(address, sharing.add(open));
+    const sameAddress = this.byAddress.get(address) ?? new Set();
+    this.byAddress.set(address, sameAddress.add(open));
     exchange.onClose(() => {
-      sharing.delete(open);
-      if (sharing.size === 0) this.byAddress.delete(address);
+      sameAddress.delete(open);
+      if (sameAddress.size === 0) this.byAddress.delete(address);
     });
     return exchange;
   }
@@ -41,8 +41,8 @@
    * Fails exchanges with servers that had the address of `target` before it.
    */
   endReplaced(target: Target): void {
-    const sharing = this.byAddress.get(formatAddress(target)) ?? [];
-    for (const {exchange, target: earlier} of [...sharing]) {
+    const sameAddress = this.byAddress.get(formatAddress(target)) ?? [];
+    for (const {exchange, target: earlier} of [...sameAddress]) {
       // A late message about an older entry says nothing about a newer one.
       const isReplaced =
         earlier.id !== target.id && isNewer(target.position, earlier.position);
--- a/packages/direct/src/forward/retry-after.ts
+++ b/packages/direct/src/forward/retry-after.ts
@@ -1,7 +1,7 @@
 /** Retry-After of requests that did not run. */
 
 /** Shortest wait, in ms: several iterations of a busy engine. */
-const RETURN_MS = 350;
+const MIN_RETRY_AFTER_MS = 350;
 
 /**
  * Chooses a Retry-After. Jitter spreads callers that were refused together.
@@ -11,7 +11,7 @@
  * @example
  * chooseReturnMs(0, 9000); // between 350 and 700
  */
-export function chooseReturnMs(queueMs: number, leftMs: number): number {
-  const base = Math.max(RETURN_MS, queueMs);
+export function chooseRetryAfterMs(queueMs: number, leftMs: number): number {
+  const base = Math.max(MIN_RETRY_AFTER_MS, queueMs);
   return Math.min(base * (1 + Math.random()), Math.max(0, leftMs / 3));
 }
--- a/packages/direct/src/forward/stall-timer.test.ts
+++ b/packages/direct/src/forward/stall-timer.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {openListener} from '@nutmeggauge/core';
 import {expect} from 'earl';
-import {StallTimer, countTtftLimitMs} from './stall-timer.js';
+import {StallTimer, chooseTtftTimeoutMs} from './stall-timer.js';
 
 /** Silence that counts as a stall, and a longer suspension, in ms. */
 const STALL_MS = 200;
@@ -11,18 +11,18 @@
 describe('stall timer', () => {
   it('sends a short stream elsewhere while it can still be on time', () => {
     // Its engine has died without a reset.
-    expect(countTtftLimitMs(80, 30, 300) < 1000).toEqual(true);
+    expect(chooseTtftTimeoutMs(80, 30, 300) < 1000).toEqual(true);
   });
 
   it('does not prefill a long prompt twice because others delay it', () => {
     // Guards against a second prefill of a prompt that was merely preempted.
     const objectiveMs = 4000;
-    expect(countTtftLimitMs(400, 1500, objectiveMs) > objectiveMs).toEqual(
-      true,
-    );
-    expect(countTtftLimitMs(400, 1500, objectiveMs) < 2 * objectiveMs).toEqual(
+    expect(chooseTtftTimeoutMs(400, 1500, objectiveMs) > objectiveMs).toEqual(
       true,
     );
+    expect(
+      chooseTtftTimeoutMs(400, 1500, objectiveMs) < 2 * objectiveMs,
+    ).toEqual(true);
   });
 
   it('counts no engine as stalled whose events are not read yet', async () => {
--- a/packages/direct/src/forward/stall-timer.ts
+++ b/packages/direct/src/forward/stall-timer.ts
@@ -4,7 +4,7 @@
 /**
  * Time within which another answer of an engine shows that it is alive, in ms.
  */
-export const LIVENESS_MS = 600;
+export const LIVENESS_WINDOW_MS = 600;
 
 /**
  * Time without a first token after which another engine is tried: a multiple of
@@ -17,14 +17,14 @@
  * Slack for a prompt with a long prefill, in ms: its engine reports a dead
  * helper itself after a stall of 1,500 ms.
  */
-const LONG_PREFILL_MS = 400;
+const LONG_PREFILL_MIN_MS = 400;
 const LONG_PREFILL_SLACK_MS = 2500;
 
 /**
  * Multiple of the objective that such a prompt is given in any case: newer
  * prompts preempt it, and a second prefill adds load when there is most of it.
  */
-const LONG_PREFILL_OBJECTIVES = 1.75;
+const LONG_PREFILL_OBJECTIVE_FACTOR = 1.75;
 
 /**
  * Time without a first token after which another engine is tried, in ms.
@@ -34,16 +34,16 @@
  * @example
  * countTtftLimitMs(400, 1500, 3000); // 5250
  */
-export function countTtftLimitMs(
+export function chooseTtftTimeoutMs(
   predictedTtftMs: number,
   prefillMs: number,
   objectiveMs: number,
 ): number {
   const expectedMs = predictedTtftMs * TTFT_FACTOR;
-  if (prefillMs <= LONG_PREFILL_MS) return expectedMs + TTFT_SLACK_MS;
+  if (prefillMs <= LONG_PREFILL_MIN_MS) return expectedMs + TTFT_SLACK_MS;
   return Math.max(
     expectedMs + LONG_PREFILL_SLACK_MS,
-    objectiveMs * LONG_PREFILL_OBJECTIVES,
+    objectiveMs * LONG_PREFILL_OBJECTIVE_FACTOR,
   );
 }
 
@@ -75,6 +75,6 @@
   }
 
   private handleExpiry(): void {
-    if (this.judge() === 'wait') this.restart(LIVENESS_MS);
+    if (this.judge() === 'wait') this.restart(LIVENESS_WINDOW_MS);
   }
 }
--- a/packages/direct/src/forward/stream-attempt.ts
+++ b/packages/direct/src/forward/stream-attempt.ts
@@ -8,11 +8,15 @@
 import {findFraming} from './exchange.js';
 import {readVerdict} from './judge-answer.js';
 import {openKvLease} from './kv-lease.js';
-import {LIVENESS_MS, StallTimer, countTtftLimitMs} from './stall-timer.js';
+import {
+  LIVENESS_WINDOW_MS,
+  StallTimer,
+  chooseTtftTimeoutMs,
+} from './stall-timer.js';
 import type {PlacedPrompt} from '../placement/prompt-placer.js';
 import type {EngineFigures} from '../types.js';
 import type {ForwardContext} from './context.js';
-import type {AnswerHead, Exchange} from './exchange.js';
+import type {ResponseHead, Exchange} from './exchange.js';
 import type {KvLease, LivenessCheck} from './kv-lease.js';
 import type {GateRequest} from './request.js';
 import type {StallVerdict} from './stall-timer.js';
@@ -22,11 +26,11 @@
  * Multiple of the inter-token objective, and least time in ms, after which a
  * stream counts as stalled.
  */
-const STALL_ITL_OBJECTIVES = 2.5;
+const STALL_ITL_FACTOR = 2.5;
 const STALL_MIN_MS = 1000;
 
 /** Age up to which bytes of an engine show that it is alive, in ms. */
-const ALIVE_MS = 400;
+const ACTIVITY_WINDOW_MS = 400;
 
 /** Priority at the engine by prompt size: short prompts first. */
 const PRIORITY_BY_TOKENS: ReadonlyArray<readonly [number, number]> = [
@@ -56,13 +60,13 @@
   /** Name of this attempt for its reservations. */
   readonly name: string;
   /** True if another attempt may follow, or is under way. */
-  readonly mayFollow: () => boolean;
+  readonly isBackupPossible: () => boolean;
   /** Starts another engine; this one is kept until that has begun. */
-  readonly startFollower: () => void;
+  readonly startBackup: () => void;
   /**
    * Claims the caller's answer for this attempt; false if another one has it.
    */
-  readonly claimLead: () => boolean;
+  readonly claimResponse: () => boolean;
 }
 
 /**
@@ -102,14 +106,14 @@
     const {context, placed, name} = this.options;
     const {reservations} = placed.choice;
     if (reservations.length === 0) return undefined;
-    const wishes = reservations.flatMap(({target, tokens}) => {
+    const kvRequests = reservations.flatMap(({target, tokens}) => {
       const helper = placed.helpers.find(({id}) => id === target);
       return helper === undefined ? [] : [{target: helper, tokens}];
     });
     const lease = await openKvLease(
       context.reservations,
       name,
-      wishes,
+      kvRequests,
       this.createLivenessCheck(),
     );
     return lease ?? 'refused';
@@ -119,7 +123,8 @@
     const {health, readNow, reports} = this.options.context;
     const {target} = this.options.placed;
     return {
-      isHeard: () => health.isHeardSince(target.id, readNow() - ALIVE_MS),
+      isActive: () =>
+        health.isHeardSince(target.id, readNow() - ACTIVITY_WINDOW_MS),
       ask: async () => (await reports.read(target)) !== undefined,
     };
   }
@@ -129,20 +134,24 @@
     if (this.isCancelled) throw new ExchangeError('cancelled', false);
     const exchange = this.sendToDecoder(lease);
     this.exchange = exchange;
-    const stall = new StallTimer(() => this.judgeStall());
+    const stallTimer = new StallTimer(() => this.judgeStall());
     const {request, engine, placed} = this.options;
     const prefillMs = estimatePrefillMs(
       request.facts.promptTokens ?? 0,
       engine,
     );
     const {predictedTtftMs} = placed.choice;
-    stall.restart(
-      countTtftLimitMs(predictedTtftMs, prefillMs, request.route.objectiveMs),
+    stallTimer.restart(
+      chooseTtftTimeoutMs(
+        predictedTtftMs,
+        prefillMs,
+        request.route.objectiveMs,
+      ),
     );
     try {
-      return await this.readAnswer(exchange, stall);
+      return await this.readResponse(exchange, stallTimer);
     } finally {
-      stall.stop();
+      stallTimer.stop();
     }
   }
 
@@ -175,22 +184,22 @@
    * adds load. This one is kept, as it may resume first.
    */
   private judgeStall(): StallVerdict {
-    const {context, placed, mayFollow, startFollower} = this.options;
+    const {context, placed, isBackupPossible, startBackup} = this.options;
     const {request, engine} = this.options;
     const {health, readNow, prompts} = context;
-    if (!mayFollow()) return 'ignore';
+    if (!isBackupPossible()) return 'ignore';
     if (placed.isPrefilling()) return 'wait';
     const others = new Set([placed.target.id]);
     if (!prompts.isSlotFree(request.service, engine, others)) return 'wait';
-    if (health.isHeardSince(placed.target.id, readNow() - LIVENESS_MS))
+    if (health.isHeardSince(placed.target.id, readNow() - LIVENESS_WINDOW_MS))
       return 'wait';
-    startFollower();
+    startBackup();
     return 'wait';
   }
 
-  private async readAnswer(
+  private async readResponse(
     exchange: Exchange,
-    stall: StallTimer,
+    stallTimer: StallTimer,
   ): Promise<AttemptEnd> {
     const {context, request} = this.options;
     const head = await exchange.head;
@@ -203,18 +212,19 @@
       return {kind: 'not-run', faultyAddress: facts.faultyAddress};
     if (verdict === 'foreign') throw new ExchangeError('foreign-answer', true);
     if (head.status !== 200) return this.forwardFailure(exchange, head);
-    this.startAnswer(head);
-    await this.forwardEvents(exchange, head, stall);
-    this.claimLead();
+    this.startResponse(head);
+    await this.forwardEvents(exchange, head, stallTimer);
+    this.claimResponse();
     request.caller.finish();
     return {kind: 'done'};
   }
 
-  private claimLead(): void {
-    if (!this.options.claimLead()) throw new ExchangeError('cancelled', true);
+  private claimResponse(): void {
+    if (!this.options.claimResponse())
+      throw new ExchangeError('cancelled', true);
   }
 
-  private startAnswer(head: AnswerHead): void {
+  private startResponse(head: ResponseHead): void {
     const {request, progress} = this.options;
     // A resumed stream keeps the head of its first engine.
     if (progress.hasHead) return;
@@ -226,25 +236,22 @@
 
   private async forwardEvents(
     exchange: Exchange,
-    head: AnswerHead,
-    stall: StallTimer,
+    head: ResponseHead,
+    stallTimer: StallTimer,
   ): Promise<void> {
     const {context, request, placed, progress} = this.options;
     const {route, caller} = request;
     const itlObjectiveMs = route.itlObjectiveMs ?? route.objectiveMs;
-    const stallMs = Math.max(
-      STALL_MIN_MS,
-      STALL_ITL_OBJECTIVES * itlObjectiveMs,
-    );
+    const stallMs = Math.max(STALL_MIN_MS, STALL_ITL_FACTOR * itlObjectiveMs);
     const splitter = createEventSplitter();
     let isFirst = true;
     for await (const bytes of exchange.readBody(head)) {
       const events = splitter.push(bytes);
       if (events.length === 0) continue;
-      this.claimLead();
+      this.claimResponse();
       if (isFirst) placed.markBegun();
       isFirst = false;
-      stall.restart(stallMs);
+      stallTimer.restart(stallMs);
       const now = context.readNow();
       context.health.markHeard(placed.target.id, now);
       for (const event of events) {
@@ -255,21 +262,21 @@
     }
     // A framed answer must not end with an unframed one.
     const framing = findFraming(head.message);
-    const isPromiseBroken = framing === 'by-close' && !progress.isUnframed;
-    if (splitter.hasPartialEvent || isPromiseBroken)
+    const isFramingLost = framing === 'by-close' && !progress.isUnframed;
+    if (splitter.hasPartialEvent || isFramingLost)
       throw new ExchangeError('truncated', true);
   }
 
   /** Forwards a failure that the target signed, before any event. */
   private async forwardFailure(
     exchange: Exchange,
-    head: AnswerHead,
+    head: ResponseHead,
   ): Promise<AttemptEnd> {
-    const {request, progress, mayFollow} = this.options;
+    const {request, progress, isBackupPossible} = this.options;
     const body = await exchange.readWholeBody(head);
-    if (progress.hasHead || mayFollow())
+    if (progress.hasHead || isBackupPossible())
       throw new ExchangeError('malformed', true);
-    request.caller.sendWhole(
+    request.caller.sendComplete(
       head.status,
       head.message.rawHeaders,
       body,
--- a/packages/direct/src/forward/stream-forwarder.ts
+++ b/packages/direct/src/forward/stream-forwarder.ts
@@ -6,7 +6,7 @@
 import {PlacedPrompt} from '../placement/prompt-placer.js';
 import {AttemptChain} from './attempt-chain.js';
 import {SlotFinder} from './slot-finder.js';
-import {chooseReturnMs} from './retry-after.js';
+import {chooseRetryAfterMs} from './retry-after.js';
 import {StreamAttempt} from './stream-attempt.js';
 import {StreamProgress} from './stream-progress.js';
 import {StreamRecord} from './stream-record.js';
@@ -19,13 +19,13 @@
 /**
  * Retry-After when all slots are taken, in ms: about as long as a slot is held.
  */
-const OVERLOAD_RETURN_MS = 1200;
+const OVERLOAD_RETRY_AFTER_MS = 1200;
 
 /** Time left below which no further engine is tried, in ms. */
 const MIN_RETRY_LEFT_MS = 250;
 
 /** Attempts whose connection could not be opened, at most. */
-const MAX_UNSENT_TRIES = 4;
+const MAX_UNSENT_ATTEMPTS = 4;
 
 /** An end of an attempt that leaves the caller without an answer. */
 type FailedEnd = Exclude<AttemptEnd, {kind: 'done' | 'passed-on'}>;
@@ -43,11 +43,11 @@
   private readonly progress: StreamProgress;
   private readonly record: StreamRecord;
   private readonly finder: SlotFinder;
-  private sends = 0;
-  private unsentTries = 0;
+  private sentAttempts = 0;
+  private unsentAttempts = 0;
   private mayHaveRun = false;
   private isSettled = false;
-  private expiry: NodeJS.Timeout | undefined;
+  private deadlineTimer: NodeJS.Timeout | undefined;
 
   constructor(
     private readonly context: ForwardContext,
@@ -61,11 +61,11 @@
 
   run(): void {
     const {request, context} = this;
-    this.expiry = setTimeout(
-      () => this.endWith(504, 'timeout'),
+    this.deadlineTimer = setTimeout(
+      () => this.endWithError(504, 'timeout'),
       request.expiresAt - context.readNow(),
     );
-    request.caller.onLeave(() => this.settle('caller_left'));
+    request.caller.onDisconnect(() => this.settle('caller_left'));
     if (!this.isSettled) void this.runChain();
   }
 
@@ -75,7 +75,7 @@
     while (!chain.isClosed) {
       const placed = await this.place(chain);
       if (placed === undefined) break;
-      const end = await this.tryOnce(chain, placed);
+      const end = await this.runAttempt(chain, placed);
       if (this.isSettled) break;
       this.handleEnd(chain, placed, end);
     }
@@ -88,7 +88,7 @@
   }
 
   /** True if another chain is under way. */
-  private isOther(chain: AttemptChain): boolean {
+  private isOtherChainOpen(chain: AttemptChain): boolean {
     return [...this.chains].some(other => other !== chain);
   }
 
@@ -97,21 +97,23 @@
    * may.
    */
   private async place(chain: AttemptChain): Promise<PlacedPrompt | undefined> {
-    if (this.sends > 0 && this.readLeftMs() < MIN_RETRY_LEFT_MS) {
+    if (this.sentAttempts > 0 && this.readLeftMs() < MIN_RETRY_LEFT_MS) {
       this.giveUp(chain, 'no_time_left');
       return undefined;
     }
     // Streams that have been attempted skip the queue.
-    const mayOverfill = this.sends > 0 || this.unsentTries > 0;
+    const mayOverfill = this.sentAttempts > 0 || this.unsentAttempts > 0;
     const result = await this.finder.findSlot(mayOverfill, chain.signal);
-    if (result instanceof PlacedPrompt) return this.checkInTime(chain, result);
+    if (result instanceof PlacedPrompt)
+      return this.checkDeadline(chain, result);
     if (result === 'none') this.giveUp(chain, 'no_target');
-    if (result === 'full') this.refuse(chain, 'overloaded', OVERLOAD_RETURN_MS);
+    if (result === 'full')
+      this.refuse(chain, 'overloaded', OVERLOAD_RETRY_AFTER_MS);
     return undefined;
   }
 
   /** Releases the slot if the answer would come after the deadline. */
-  private checkInTime(
+  private checkDeadline(
     chain: AttemptChain,
     placed: PlacedPrompt,
   ): PlacedPrompt | undefined {
@@ -122,14 +124,14 @@
     return undefined;
   }
 
-  private async tryOnce(
+  private async runAttempt(
     chain: AttemptChain,
     placed: PlacedPrompt,
   ): Promise<AttemptEnd> {
     const {context, request, engine, progress} = this;
     const placedAt = context.readNow();
-    this.sends++;
-    this.record.addPlacement(placed, this.sends);
+    this.sentAttempts++;
+    this.record.addPlacement(placed, this.sentAttempts);
     chain.placed = placed;
     chain.attempt = new StreamAttempt({
       context,
@@ -137,10 +139,10 @@
       engine,
       placed,
       progress,
-      name: `${request.facts.requestId ?? 'none'}-${this.sends}-${this.unsentTries}`,
-      mayFollow: () => this.isFollowable(chain),
-      startFollower: () => this.startFollower(chain, placed),
-      claimLead: () => this.claimLead(chain),
+      name: `${request.facts.requestId ?? 'none'}-${this.sentAttempts}-${this.unsentAttempts}`,
+      isBackupPossible: () => this.isBackupPossible(chain),
+      startBackup: () => this.startBackup(chain, placed),
+      claimResponse: () => this.claimResponse(chain),
     });
     let end: AttemptEnd;
     try {
@@ -156,31 +158,34 @@
   }
 
   /** Each stall starts one other engine only. */
-  private isFollowable(chain: AttemptChain): boolean {
-    return this.isOther(chain) || (!chain.isSilent && this.isRetryLeft());
+  private isBackupPossible(chain: AttemptChain): boolean {
+    return (
+      this.isOtherChainOpen(chain) ||
+      (!chain.isStalled && this.isRetryAllowed())
+    );
   }
 
   /** A stream that cannot be resumed may run only once. */
-  private isRetryLeft(): boolean {
+  private isRetryAllowed(): boolean {
     const {isResumable, maxAttempts} = this.request.route;
-    return isResumable && this.sends < maxAttempts;
+    return isResumable && this.sentAttempts < maxAttempts;
   }
 
   /**
    * Starts another engine for a stalled one, if allowed and in time. Whichever
    * sends the next event first has the stream.
    */
-  private startFollower(silent: AttemptChain, placed: PlacedPrompt): void {
+  private startBackup(stalled: AttemptChain, placed: PlacedPrompt): void {
     // The stream may have ended in the turn in which the stall shows.
-    if (silent.isClosed || this.isOther(silent)) return;
+    if (stalled.isClosed || this.isOtherChainOpen(stalled)) return;
     const {predictedTtftMs} = placed.choice;
     const neededMs = Math.max(MIN_RETRY_LEFT_MS, predictedTtftMs);
     if (this.readLeftMs() < neededMs || !this.claimRetry()) return;
     const {health, readNow} = this.context;
     this.tried.add(placed.target.id);
     health.recordFailure(placed.target.id, readNow(), false);
-    silent.isSilent = true;
-    this.record.addSilence(placed);
+    stalled.isStalled = true;
+    this.record.addStall(placed);
     void this.runChain();
   }
 
@@ -188,11 +193,11 @@
    * Gives the stream to one chain and closes the other; false if the other was
    * first.
    */
-  private claimLead(chain: AttemptChain): boolean {
+  private claimResponse(chain: AttemptChain): boolean {
     if (chain.isClosed) return false;
     for (const other of [...this.chains])
       if (other !== chain) this.close(other);
-    chain.isSilent = false;
+    chain.isStalled = false;
     return true;
   }
 
@@ -214,31 +219,33 @@
       return this.settle('target_failure', placed.target);
     this.recordFailure(chain, placed, end);
     if (chain.isClosed) return;
-    this.markCulprit(placed, end);
+    this.markFaultyTarget(placed, end);
     const isUnsent =
       end.kind === 'no-memory' || (end.kind === 'failed' && !end.error.wasSent);
     if (isUnsent) return this.countUnsent(chain);
     this.mayHaveRun ||= end.kind !== 'not-run';
-    if (this.isOther(chain)) return this.leaveToOther(chain);
+    if (this.isOtherChainOpen(chain)) return this.closeForOther(chain);
     this.claimNextAttempt(chain, end);
   }
 
   /** Nothing left this host, so the attempt does not count. */
   private countUnsent(chain: AttemptChain): void {
-    this.sends--;
-    if (++this.unsentTries >= MAX_UNSENT_TRIES) this.giveUp(chain, 'unsent');
+    this.sentAttempts--;
+    if (++this.unsentAttempts >= MAX_UNSENT_ATTEMPTS)
+      this.giveUp(chain, 'unsent');
   }
 
   private claimNextAttempt(chain: AttemptChain, end: FailedEnd): void {
     const {isResumable, maxAttempts} = this.request.route;
     if (end.kind !== 'not-run' && !isResumable)
       return this.giveUp(chain, 'not_repeatable');
-    if (this.sends >= maxAttempts) return this.giveUp(chain, 'attempts_spent');
+    if (this.sentAttempts >= maxAttempts)
+      return this.giveUp(chain, 'attempts_spent');
     if (!this.claimRetry()) this.giveUp(chain, 'retry_budget_spent');
   }
 
   /** Records which target failed, so that the next attempt avoids it. */
-  private markCulprit(placed: PlacedPrompt, end: FailedEnd): void {
+  private markFaultyTarget(placed: PlacedPrompt, end: FailedEnd): void {
     const {health, readNow} = this.context;
     if (end.kind === 'no-memory') {
       // A full helper is not unhealthy: only this stream avoids it.
@@ -249,12 +256,12 @@
     const helper = placed.helpers.find(
       ({host, port}) => `${host}:${port}` === faulty,
     );
-    const culprit = helper ?? placed.target;
+    const faultyTarget = helper ?? placed.target;
     const isUnsent = end.kind === 'failed' && !end.error.wasSent;
-    this.tried.add(culprit.id);
+    this.tried.add(faultyTarget.id);
     if (end.kind === 'failed' && !end.error.isByTarget) return;
     health.recordFailure(
-      culprit.id,
+      faultyTarget.id,
       readNow(),
       isUnsent || helper !== undefined,
     );
@@ -262,7 +269,7 @@
 
   /** Ends a chain; the last one ends the stream. */
   private giveUp(chain: AttemptChain, why: string): void {
-    if (this.isOther(chain)) return this.leaveToOther(chain);
+    if (this.isOtherChainOpen(chain)) return this.closeForOther(chain);
     this.record.addGivenUp(why, [...this.tried]);
     this.refuse(chain, why === 'no_target' ? 'no_target' : 'not_run', 0);
   }
@@ -273,19 +280,19 @@
     reason: RefusalReason,
     queueMs: number,
   ): void {
-    if (this.isOther(chain)) return this.leaveToOther(chain);
+    if (this.isOtherChainOpen(chain)) return this.closeForOther(chain);
     // Only a request that has not run may be called "not run".
     if (this.progress.hasHead || this.mayHaveRun)
-      return this.endWith(502, 'outcome_unknown');
-    const returnMs = chooseReturnMs(queueMs, this.readLeftMs());
-    this.request.caller.refuse(503, reason, returnMs);
+      return this.endWithError(502, 'outcome_unknown');
+    const retryAfterMs = chooseRetryAfterMs(queueMs, this.readLeftMs());
+    this.request.caller.refuse(503, reason, retryAfterMs);
     this.settle(reason);
   }
 
-  private leaveToOther(chain: AttemptChain): void {
+  private closeForOther(chain: AttemptChain): void {
     this.close(chain);
     const [other] = this.chains;
-    if (other.isSilent && !this.progress.hasHead) void this.checkAlive(other);
+    if (other.isStalled && !this.progress.hasHead) void this.checkAlive(other);
   }
 
   /**
@@ -295,12 +302,15 @@
   private async checkAlive(chain: AttemptChain): Promise<void> {
     if (chain.placed === undefined) return;
     const report = await this.context.reports.read(chain.placed.target);
-    if (report !== undefined || !chain.isSilent || chain.isClosed) return;
+    if (report !== undefined || !chain.isStalled || chain.isClosed) return;
     this.mayHaveRun = true;
     this.giveUp(chain, 'engine_dead');
   }
 
-  private endWith(status: number, reason: 'timeout' | 'outcome_unknown'): void {
+  private endWithError(
+    status: number,
+    reason: 'timeout' | 'outcome_unknown',
+  ): void {
     if (this.isSettled) return;
     this.request.caller.refuse(status, reason);
     this.settle(reason);
@@ -309,10 +319,10 @@
   private settle(outcome: string, target?: Target): void {
     if (this.isSettled) return;
     this.isSettled = true;
-    clearTimeout(this.expiry);
+    clearTimeout(this.deadlineTimer);
     for (const chain of [...this.chains]) this.close(chain);
     const tried = [...this.tried];
-    this.record.addEnd({outcome, target, tried, sends: this.sends});
+    this.record.addEnd({outcome, target, tried, sends: this.sentAttempts});
   }
 
   private recordFailure(
@@ -324,7 +334,7 @@
       placed,
       fault: findFault(chain, end),
       faultyAddress: end.kind === 'not-run' ? end.faultyAddress : undefined,
-      attempt: this.sends,
+      attempt: this.sentAttempts,
     });
   }
 
@@ -335,7 +345,7 @@
 }
 
 function findFault(chain: AttemptChain, end: FailedEnd): AttemptFault {
-  if (chain.isClosed) return chain.isSilent ? 'stalled' : 'overtaken';
+  if (chain.isClosed) return chain.isStalled ? 'stalled' : 'overtaken';
   return end.kind === 'failed' ? end.error.fault : end.kind;
 }
 
--- a/packages/direct/src/forward/stream-record.ts
+++ b/packages/direct/src/forward/stream-record.ts
@@ -67,7 +67,7 @@
   }
 
   /** An engine has stalled; it is kept while another one is started. */
-  addSilence({target}: PlacedPrompt): void {
+  addStall({target}: PlacedPrompt): void {
     const {context, request} = this;
     context.counters.add('stream.engine_silent');
     context.log.info('engine_silent', {
@@ -108,8 +108,8 @@
   addEnd({outcome, target, tried, sends}: StreamEnd): void {
     const {context, request} = this;
     context.counters.add(`stream.${outcome}`);
-    const isGood = outcome === 'answered' || outcome === 'caller_left';
-    context.log[isGood ? 'info' : 'warn']('request_ended', {
+    const isExpected = outcome === 'answered' || outcome === 'caller_left';
+    context.log[isExpected ? 'info' : 'warn']('request_ended', {
       requestId: request.facts.requestId,
       route: request.route.name,
       kind: request.route.kind,
--- a/packages/direct/src/ingress/ingress.ts
+++ b/packages/direct/src/ingress/ingress.ts
@@ -10,11 +10,11 @@
 } from '@nutmeggauge/core';
 import {CallerResponse} from '../forward/caller-response.js';
 import {forwardCall} from '../forward/call-forwarder.js';
-import {chooseReturnMs} from '../forward/retry-after.js';
+import {chooseRetryAfterMs} from '../forward/retry-after.js';
 import {forwardStream} from '../forward/stream-forwarder.js';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {ListenAddress} from '@nutmeggauge/core';
-import type {OwnAnswerReason} from '../forward/caller-response.js';
+import type {GateErrorReason} from '../forward/caller-response.js';
 import type {ForwardContext} from '../forward/context.js';
 import type {GateRequest} from '../forward/request.js';
 import type {RequestFacts, Route} from '../types.js';
@@ -35,7 +35,7 @@
 const STALE_FACTS_MS = 4000;
 
 /** Retry-After if another gate can serve at once, in ms. */
-const ELSEWHERE_MS = 20;
+const OTHER_GATE_RETRY_AFTER_MS = 20;
 
 /**
  * The callers' HTTP server.
@@ -113,7 +113,7 @@
     res.once('close', () => this.open--);
     const caller = new CallerResponse(res, this.isStopping);
     const body = await readBody(req, this.readBodyLimit());
-    if (caller.isGone) return;
+    if (caller.isDisconnected) return;
     if (body === undefined)
       return this.refuseEarly(caller, 413, 'body_too_large');
     this.dispatch(req, body, caller, arrivedAt);
@@ -128,7 +128,13 @@
     const {state, dialect, readNow} = this.context;
     const facts = dialect.parseRequest(req.headers);
     if (this.isClosing)
-      return this.refuseEarly(caller, 503, 'stopping', facts, ELSEWHERE_MS);
+      return this.refuseEarly(
+        caller,
+        503,
+        'stopping',
+        facts,
+        OTHER_GATE_RETRY_AFTER_MS,
+      );
     const config = state.config;
     if (config === undefined)
       return this.refuseEarly(caller, 503, 'no_configuration', facts);
@@ -163,7 +169,7 @@
       arrivedAt,
       expiresAt: arrivedAt + leftMs,
       configVersion: config.version,
-      lastEventId: readOne(req.headers['last-event-id']),
+      lastEventId: readFirstValue(req.headers['last-event-id']),
       caller,
     });
   }
@@ -196,13 +202,13 @@
   private refuseEarly(
     caller: CallerResponse,
     status: number,
-    reason: OwnAnswerReason,
+    reason: GateErrorReason,
     facts?: RequestFacts,
-    returnMs?: number,
+    retryAfterMs?: number,
   ): void {
     const {log, counters, state, readFactsAgeMs} = this.context;
     const leftMs = facts?.deadlineMs ?? DEFAULT_DEADLINE_MS;
-    const waitMs = returnMs ?? chooseReturnMs(0, leftMs);
+    const waitMs = retryAfterMs ?? chooseRetryAfterMs(0, leftMs);
     caller.refuse(status, reason, status === 503 ? waitMs : undefined);
     counters.add(`ingress.${reason}`);
     log.warn('request_refused', {
@@ -235,7 +241,9 @@
   return Buffer.concat(parts);
 }
 
-function readOne(value: string | string[] | undefined): string | undefined {
+function readFirstValue(
+  value: string | string[] | undefined,
+): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
 
