--- a/packages/direct/src/forward/call-forwarder.ts
+++ b/packages/direct/src/forward/call-forwarder.ts
@@ -219,9 +219,9 @@
     if (this.isSettled) return;
     const {context, request} = this;
     const leftMs = request.expiresAt - context.readNow();
-    const retryAfterMs =
+    const retryDelayMs =
       status === 503 ? chooseRetryAfterMs(0, leftMs) : undefined;
-    request.caller.refuse(status, reason, retryAfterMs);
+    request.caller.refuse(status, reason, retryDelayMs);
     this.settle(reason);
   }
 
--- a/packages/direct/src/forward/stream-forwarder.ts
+++ b/packages/direct/src/forward/stream-forwarder.ts
@@ -175,16 +175,16 @@
    * Starts another engine for a stalled one, if allowed and in time. Whichever
    * sends the next event first has the stream.
    */
-  private startBackup(stalled: AttemptChain, placed: PlacedPrompt): void {
+  private startBackup(silent: AttemptChain, placed: PlacedPrompt): void {
     // The stream may have ended in the turn in which the stall shows.
-    if (stalled.isClosed || this.isOtherChainOpen(stalled)) return;
+    if (silent.isClosed || this.isOtherChainOpen(silent)) return;
     const {predictedTtftMs} = placed.choice;
     const neededMs = Math.max(MIN_RETRY_LEFT_MS, predictedTtftMs);
     if (this.readLeftMs() < neededMs || !this.claimRetry()) return;
     const {health, readNow} = this.context;
     this.tried.add(placed.target.id);
     health.recordFailure(placed.target.id, readNow(), false);
-    stalled.isStalled = true;
+    silent.isStalled = true;
     this.record.addStall(placed);
     void this.runChain();
   }
@@ -284,8 +284,8 @@
     // Only a request that has not run may be called "not run".
     if (this.progress.hasHead || this.mayHaveRun)
       return this.endWithError(502, 'outcome_unknown');
-    const retryAfterMs = chooseRetryAfterMs(queueMs, this.readLeftMs());
-    this.request.caller.refuse(503, reason, retryAfterMs);
+    const retryDelayMs = chooseRetryAfterMs(queueMs, this.readLeftMs());
+    this.request.caller.refuse(503, reason, retryDelayMs);
     this.settle(reason);
   }
 
--- a/packages/direct/src/ingress/ingress.ts
+++ b/packages/direct/src/ingress/ingress.ts
@@ -204,11 +204,11 @@
     status: number,
     reason: GateErrorReason,
     facts?: RequestFacts,
-    retryAfterMs?: number,
+    retryDelayMs?: number,
   ): void {
     const {log, counters, state, readFactsAgeMs} = this.context;
     const leftMs = facts?.deadlineMs ?? DEFAULT_DEADLINE_MS;
-    const waitMs = retryAfterMs ?? chooseRetryAfterMs(0, leftMs);
+    const waitMs = retryDelayMs ?? chooseRetryAfterMs(0, leftMs);
     caller.refuse(status, reason, status === 503 ? waitMs : undefined);
     counters.add(`ingress.${reason}`);
     log.warn('request_refused', {
