--- a/packages/direct/src/forward/attempt-chain.ts
+++ b/packages/direct/src/forward/attempt-chain.ts
@@ -1,12 +1,13 @@
 /**
- * A chain of attempts at a stream, each begun after the one before it has
- * failed. A second chain runs while a stalled engine is kept.
+ * Consecutive attempts at one stream. A second chain runs as a backup while the
+ * engine of the first chain is stalled but not cancelled.
  */
 import type {PlacedPrompt} from '../placement/prompt-placer.js';
 import type {StreamAttempt} from './stream-attempt.js';
 
 /**
- * A chain; once closed, it holds no engine and looks for none.
+ * Consecutive attempts at one stream, each started after the previous one has
+ * failed. A closed chain has no attempt running and searches for no engine.
  *
  * @example
  * const chain = new AttemptChain();
@@ -14,15 +15,15 @@
  * chain.close();
  */
 export class AttemptChain {
-  /** The attempt under way; absent while engines are chosen. */
+  /** The newest attempt; absent before the first one starts. */
   attempt: StreamAttempt | undefined;
   /** Placement of the newest attempt. */
   placed: PlacedPrompt | undefined;
-  /** True while its engine is stalled. */
+  /** True while the engine of the newest attempt is stalled. */
   isStalled = false;
   private readonly abortController = new AbortController();
 
-  /** Aborted when the chain is closed. */
+  /** Signal that is aborted when the chain is closed. */
   get signal(): AbortSignal {
     return this.abortController.signal;
   }
@@ -31,7 +32,7 @@
     return this.abortController.signal.aborted;
   }
 
-  /** Cancels the attempt under way and the search for engines. */
+  /** Cancels the running attempt and the search for an engine. */
   close(): void {
     this.abortController.abort();
     this.attempt?.cancel();
--- a/packages/direct/src/forward/call-forwarder.ts
+++ b/packages/direct/src/forward/call-forwarder.ts
@@ -1,7 +1,7 @@
 /**
- * Forwards a call to a plain service. A safe call is hedged to a second target
- * when the first is slow or fails; an unsafe one is sent again only if it
- * provably did not run.
+ * Forwards calls to plain services. A safe call is hedged to a second target
+ * when the first one is slow or fails. An unsafe call is retried only if it is
+ * certain that the target did not run it.
  */
 import {ExchangeError} from '../errors.js';
 import {findFraming} from './exchange.js';
@@ -13,13 +13,13 @@
 import type {Exchange} from './exchange.js';
 import type {GateRequest} from './request.js';
 
-/** Share of the objective after which a safe call is hedged. */
+/** Share of the latency objective after which a safe call is hedged. */
 const HEDGE_DELAY_SHARE = 0.5;
 
-/** Attempts whose connection could not be opened, at most. */
+/** Maximum number of attempts that fail before a connection is open. */
 const MAX_UNSENT_ATTEMPTS = 4;
 
-/** A target's complete answer. */
+/** A target's complete response. */
 interface CompleteResponse {
   readonly status: number;
   readonly headers: readonly string[];
@@ -33,7 +33,7 @@
   | {readonly kind: 'not-run'}
   | {readonly kind: 'failed'; readonly error: ExchangeError};
 
-/** One call under way. */
+/** State of one forwarded call and its attempts. */
 class CallRun {
   private readonly tried = new Set<string>();
   private readonly open = new Set<Exchange>();
@@ -179,7 +179,10 @@
     this.refuse(502, 'outcome_unknown');
   }
 
-  /** No byte left this host, so the attempt does not count. */
+  /**
+   * Tries another target after an attempt that sent no bytes and therefore does
+   * not count against the attempt limit.
+   */
   private tryUnsentAgain(): void {
     this.sentAttempts--;
     if (++this.unsentAttempts < MAX_UNSENT_ATTEMPTS)
@@ -187,7 +190,7 @@
     this.giveUpIfIdle('unsent');
   }
 
-  /** Ends the call once no attempt is under way. */
+  /** Ends the call without a further attempt, unless one is still running. */
   private giveUpIfIdle(why: string): void {
     if (this.open.size > 0 || this.isSettled) return;
     if (this.fallbackResponse !== undefined)
@@ -252,7 +255,7 @@
 }
 
 /**
- * Forwards one call; the caller gets exactly one answer.
+ * Forwards one call. The caller gets exactly one response.
  *
  * @example
  * forwardCall(context, request);
--- a/packages/direct/src/forward/caller-response.ts
+++ b/packages/direct/src/forward/caller-response.ts
@@ -1,12 +1,12 @@
 /**
- * The answer to one caller: a target's, unchanged, or the gate's own. A failure
- * after the head cuts the connection, so that an incomplete answer never looks
- * complete.
+ * Response to one caller: either a target's response, passed through, or an
+ * error from the gate. A failure after the head has been sent closes the
+ * connection, so that an incomplete response never looks complete.
  */
 import type {ServerResponse} from 'node:http';
 import type {RawHeaders} from '../types.js';
 
-/** Hop-by-hop header fields. */
+/** Hop-by-hop header fields, which are never forwarded. */
 const HOP_BY_HOP = new Set([
   'connection',
   'keep-alive',
@@ -20,7 +20,7 @@
 ]);
 
 /**
- * Removes hop-by-hop fields, including those that `Connection` names.
+ * Removes hop-by-hop header fields, including those that `Connection` lists.
  *
  * @example
  * stripHopByHop(['Connection', 'x', 'X', '1', 'A', '2']); // ['A', '2']
@@ -42,12 +42,12 @@
 }
 
 /**
- * How the end of an answer is marked: by its length or chunks, or by the end of
- * the connection.
+ * How the end of a response is marked: by its length or chunked encoding
+ * (`framed`), or by the end of the connection (`by-close`).
  */
 export type ResponseFraming = 'framed' | 'by-close';
 
-/** Why the gate answers itself. */
+/** Reason that the gate gives when it responds with an error of its own. */
 export type GateErrorReason =
   | 'no_configuration'
   | 'configuration_stale'
@@ -63,13 +63,13 @@
   | 'stopping';
 
 /**
- * One caller's answer.
+ * Response to one caller.
  *
  * @example
  * caller.refuse(503, 'overloaded', 800);
  */
 export class CallerResponse {
-  /** Status sent to the caller; absent before the head. */
+  /** Status sent to the caller; absent until the head is sent. */
   status: number | undefined;
   private isUnframed = false;
   private readonly disconnectListeners: Array<() => void> = [];
@@ -79,7 +79,7 @@
     private readonly response: ServerResponse,
     private readonly isStopping: () => boolean,
   ) {
-    // Writes after the end raise an error here; the answer stands.
+    // A write after the end emits an error that does not affect the response.
     response.on('error', () => undefined);
     response.on('close', () => {
       if (response.writableFinished) return;
@@ -88,18 +88,23 @@
     });
   }
 
-  /** True if the caller's connection closed before the answer was complete. */
+  /**
+   * True if the caller's connection closed before the response was complete.
+   */
   get isDisconnected(): boolean {
     return this.hasDisconnected;
   }
 
-  /** Registers a listener for the caller's disconnect. */
+  /**
+   * Registers a listener for the caller's disconnect; calls it at once if the
+   * caller has already disconnected.
+   */
   onDisconnect(listener: () => void): void {
     if (this.hasDisconnected) listener();
     else this.disconnectListeners.push(listener);
   }
 
-  /** Starts a target's answer; its body follows. */
+  /** Sends the head of a target's response; `write` sends its body. */
   start(status: number, headers: RawHeaders, framing: ResponseFraming): void {
     this.status = status;
     const kept = stripHopByHop(headers);
@@ -109,17 +114,17 @@
     this.response.flushHeaders();
   }
 
-  /** Sends a part of the body. */
+  /** Sends a part of the response body. */
   write(bytes: Buffer): void {
     this.response.write(bytes);
   }
 
-  /** Ends a complete answer. */
+  /** Ends a complete response. */
   finish(): void {
     this.response.end();
   }
 
-  /** Sends a target's complete answer. */
+  /** Sends a target's complete response. */
   sendComplete(
     status: number,
     headers: RawHeaders,
@@ -140,9 +145,11 @@
   }
 
   /**
-   * Answers as the gate itself.
+   * Sends an error response of the gate; closes the connection if the head of
+   * another response has been sent.
    *
-   * @param retryAfterMs - Absent if a retry would not help.
+   * @param retryAfterMs - Delay for Retry-After, in ms; absent if a retry would
+   *   not help.
    */
   refuse(status: number, reason: GateErrorReason, retryAfterMs?: number): void {
     if (this.status !== undefined) {
@@ -164,17 +171,17 @@
     this.response.end(body);
   }
 
-  /** Cuts the connection: the answer is incomplete. */
+  /** Closes the connection to show that the response is incomplete. */
   drop(): void {
-    // An ordinary close would end an unframed answer properly.
+    // An ordinary close would mark an unframed response as complete.
     if (this.isUnframed) this.response.socket?.resetAndDestroy();
     this.response.destroy();
   }
 
   /**
-   * Adds `Connection: close` where the answer ends the connection. An answer
-   * without a length stays unframed, as the gate cannot know that it is
-   * complete.
+   * Adds `Connection: close` if the response is unframed or the gate is
+   * stopping. A response without a length stays unframed, because the gate
+   * cannot know whether it is complete.
    */
   private addConnectionClose(
     headers: string[],
--- a/packages/direct/src/forward/context.ts
+++ b/packages/direct/src/forward/context.ts
@@ -1,4 +1,4 @@
-/** Dependencies that both forwarders share. */
+/** Dependencies of the call forwarder and the stream forwarder. */
 import type {Counters, LatencyHistogram} from '@nutmeggauge/core';
 import type {AdmissionQueues} from '../admission/admission-queue.js';
 import type {FleetState} from '../fleet/fleet-state.js';
@@ -10,7 +10,7 @@
 import type {OpenExchanges} from './open-exchanges.js';
 import type {SharedRetryBudget} from '../retry/shared-retry-budget.js';
 
-/** Shared dependencies of one gate. */
+/** Dependencies that all forwarded requests of one gate share. */
 export interface ForwardContext {
   readonly dialect: HeaderDialect;
   readonly state: FleetState;
@@ -28,6 +28,6 @@
   readonly answerMs: LatencyHistogram;
   /** Monotonic clock, in ms. */
   readonly readNow: () => number;
-  /** Age of the facts that decisions are based on, in ms. */
+  /** Age of the fleet state that decisions are based on, in ms. */
   readonly readFactsAgeMs: () => number;
 }
--- a/packages/direct/src/forward/event-splitter.ts
+++ b/packages/direct/src/forward/event-splitter.ts
@@ -1,19 +1,20 @@
 /**
- * Splits a stream of server-sent events. Only whole events are forwarded, so
- * that another target can continue after the last one.
+ * Splits a byte stream into server-sent events. Only complete events are
+ * forwarded, so that another target can resume the stream after the last one.
  */
 
-/** One whole event with its terminating bytes. */
+/** One complete event. */
 export interface StreamEvent {
+  /** Bytes of the event, including the blank line that ends it. */
   readonly bytes: Buffer;
-  /** Value of its `id` field; absent when it has none. */
+  /** Value of the `id` field; absent if the event has none. */
   readonly id: string | undefined;
 }
 
 const BOUNDARY = '\n\n';
 
 /**
- * Buffers bytes and returns whole events.
+ * Splits bytes into complete events and buffers incomplete ones.
  *
  * @example
  * splitter.push(Buffer.from('id: 1\ndata: a\n\nid')); // one event
@@ -26,7 +27,7 @@
     return this.remainder.length > 0;
   }
 
-  /** Adds bytes and returns the events that they complete. */
+  /** Adds bytes and returns the events completed by them. */
   push(bytes: Buffer): readonly StreamEvent[] {
     let buffer =
       this.remainder.length === 0
@@ -51,7 +52,7 @@
 }
 
 /**
- * Creates a splitter.
+ * Creates a splitter for one stream.
  *
  * @example
  * const splitter = createEventSplitter();
--- a/packages/direct/src/forward/exchange.ts
+++ b/packages/direct/src/forward/exchange.ts
@@ -1,6 +1,7 @@
 /**
- * One request to one target over a connection of its own: a kept one may have
- * closed unseen, gone silent, or hold bytes of an earlier answer.
+ * Sends one request to one target over a new connection. A kept-alive
+ * connection may have been closed unnoticed, may be dead, or may hold bytes of
+ * an earlier response.
  */
 import {request as sendRequest} from 'node:http';
 import {ReadTimeout} from '@nutmeggauge/core';
@@ -11,18 +12,18 @@
 import type {ResponseFraming} from './caller-response.js';
 
 /**
- * Connection timeout, in ms: above the round trip within a region, below the
- * first retransmission of a lost SYN.
+ * Connection timeout, in ms: longer than a round trip within a region, shorter
+ * than the first retransmission of a lost SYN.
  */
 const CONNECT_TIMEOUT_MS = 250;
 
 /**
- * Lowest final status. Node parses a garbled status such as 099, but refuses to
- * write it.
+ * Lowest status of a final response. Node.js parses an invalid status such as
+ * 099, but refuses to write it.
  */
 const MIN_FINAL_STATUS = 200;
 
-/** A request to a target. */
+/** Request to send to a target. */
 export interface ExchangeOptions {
   readonly target: Target;
   readonly method: string;
@@ -31,23 +32,23 @@
   readonly body: Buffer;
 }
 
-/** Head of a target's answer; the body follows. */
+/** Head of a target's response; the body is still to be read. */
 export interface ResponseHead {
   readonly status: number;
   readonly message: IncomingMessage;
 }
 
 /**
- * An exchange under way.
+ * One request to a target and its response.
  *
  * @example
  * const exchange = openExchange(options);
  * const head = await exchange.head;
  */
 export class Exchange {
-  /** Resolves with the head; rejects with an ExchangeError. */
+  /** Resolves with the response head; rejects with an ExchangeError. */
   readonly head: Promise<ResponseHead>;
-  /** Absent if the head could not be written. */
+  /** Request being sent; absent if its head could not be written. */
   private readonly request: ClientRequest | undefined;
   private isConnected = false;
   private isCancelled = false;
@@ -66,7 +67,7 @@
       this.observeConnection(opened);
       opened.end(options.body.length > 0 ? options.body : undefined);
     }
-    // The head may be of no interest any more.
+    // Avoids an unhandled rejection if nothing awaits the head any more.
     this.head.catch(() => undefined);
   }
 
@@ -76,15 +77,16 @@
   }
 
   /**
-   * True if the body that ended is complete. Without a length Node's parser
-   * takes a reset for the end of the body, so only the socket's error shows it.
+   * Returns true if a body that has ended is complete. Node's parser takes a
+   * reset for the end of a body without a length, so only the socket error
+   * shows that such a body is truncated.
    */
   private isWhole(message: IncomingMessage): boolean {
     if (!message.complete) return false;
     return findFraming(message) === 'framed' || !this.hasFailed;
   }
 
-  /** Reads the body; rejects with an ExchangeError if it is cut off. */
+  /** Yields the body in parts; throws an ExchangeError if it is truncated. */
   async *readBody({message}: ResponseHead): AsyncGenerator<Buffer> {
     try {
       yield* message as AsyncIterable<Buffer>;
@@ -94,7 +96,7 @@
     if (!this.isWhole(message)) throw new ExchangeError('truncated', true);
   }
 
-  /** Reads the whole body; rejects with an ExchangeError if it is cut off. */
+  /** Reads the whole body; rejects with an ExchangeError if it is truncated. */
   async readWholeBody(head: ResponseHead): Promise<Buffer> {
     const parts: Buffer[] = [];
     for await (const part of this.readBody(head)) parts.push(part);
@@ -107,10 +109,12 @@
     this.request?.destroy();
   }
 
-  /** Fails the exchange as a reset by its target would. */
+  /** Fails the exchange in the same way as a reset by the target. */
   markBroken(): void {
     const {host, port} = this.target;
-    this.request?.destroy(new Error(`${host}:${port} has another server`));
+    this.request?.destroy(
+      new Error(`${host}:${port} now belongs to another server`),
+    );
   }
 
   /** Registers a listener for the end of the connection. */
@@ -121,7 +125,8 @@
 
   private observeConnection(request: ClientRequest): void {
     request.once('socket', socket => {
-      // After a suspension, sockets are read before the timeout counts.
+      // When the process resumes after a suspension, pending socket events are
+      // handled before the timeout expires.
       const timeout = new ReadTimeout(
         () => request.destroy(),
         CONNECT_TIMEOUT_MS,
@@ -144,7 +149,8 @@
         reject(new ExchangeError('malformed', true));
         request.destroy();
       });
-      // Bytes after a complete answer raise errors too and change nothing.
+      // Bytes after a complete response raise errors too, but the response
+      // remains valid.
       request.on('error', cause => {
         this.hasFailed = true;
         if (hasHead) return;
@@ -168,8 +174,8 @@
 }
 
 /**
- * Begins to send a request. Node throws for a header value with invalid
- * characters.
+ * Starts a request. Returns an error if Node.js rejects the head, for example
+ * because a header value contains invalid characters.
  */
 function openRequest(options: ExchangeOptions): ClientRequest | ExchangeError {
   try {
@@ -188,7 +194,7 @@
 }
 
 /**
- * Finds how the end of an answer is marked.
+ * Returns how the end of a response is marked.
  *
  * @example
  * findFraming(message); // 'framed'
--- a/packages/direct/src/forward/judge-answer.ts
+++ b/packages/direct/src/forward/judge-answer.ts
@@ -1,22 +1,23 @@
-/** Classifies the head of a target's answer. */
+/** Classifies the heads of targets' responses. */
 import type {HeaderDialect} from '../ports.js';
 import type {AnswerFacts} from '../types.js';
 import type {ResponseHead} from './exchange.js';
 
-/** Verdict on a head. */
+/** Classification of a response head. */
 export type HeadVerdict =
-  /** The target's own answer. */
+  /** Response of the target to this request. */
   | 'answer'
-  /** The target's own answer, and a failure. */
+  /** Response of the target to this request, with a server error status. */
   | 'target-failure'
-  /** The request has not run there and never will. */
+  /** The target has not run the request and never will. */
   | 'not-run'
-  /** Not an answer to this request, which may have run. */
+  /** Not a response of the target to this request, which may have run. */
   | 'foreign';
 
 /**
- * Classifies a head. An answer with another request's id belongs to that one; a
- * success without a signature, or with an encoded body, is not the target's.
+ * Classifies a response head. A response with the id of another request is
+ * foreign, and so are a success response without a signature or request id and
+ * a response with an encoded body.
  *
  * @example
  * judgeHead(head, dialect.parseAnswer(head.message.headers), '9c41');
@@ -38,7 +39,7 @@
 }
 
 /**
- * Parses and classifies a head.
+ * Parses and classifies a response head.
  *
  * @example
  * const {verdict, facts} = readVerdict(head, dialect, requestId);
--- a/packages/direct/src/forward/kv-lease.ts
+++ b/packages/direct/src/forward/kv-lease.ts
@@ -1,44 +1,45 @@
 /**
- * KV cache reserved on helpers for one long prompt. Reservations are short
- * leases, renewed while the stream lasts, so they expire soon after this
- * process dies or a release is lost.
+ * Reserves KV cache on the prefill helpers of one long prompt. Reservations are
+ * short leases that are renewed while the stream lasts, so they expire soon
+ * after this process dies or a release is lost.
  */
 import type {KvReservations} from '../ports.js';
 import type {Target} from '../types.js';
 
 /**
- * Length of a lease, in ms: idle reservations must end within four seconds, and
- * a delayed one may start late.
+ * Lease duration, in ms: unused reservations must end within four seconds,
+ * which includes the delay until a reservation starts.
  */
 const LEASE_MS = 3200;
 
-/** Period of the renewals, in ms: two may be lost before the lease ends. */
+/** Renewal interval, in ms: a lease survives the loss of two renewals. */
 const RENEW_MS = 1200;
 
 /**
- * Consecutive polls that the engine may leave unanswered: later, the lease has
- * expired.
+ * Number of consecutive unanswered polls after which renewals stop, as the
+ * lease expires before the next one.
  */
 const MAX_MISSED_POLLS = 2;
 
-/** One reservation. */
+/** Reservation that is held on one target. */
 export interface LeasedReservation {
   readonly target: Target;
   readonly ticket: string;
 }
 
-/** Says whether the engine that decodes a prompt is alive. */
+/** Checks whether the engine that decodes a prompt is alive. */
 export interface LivenessCheck {
-  /** True if it has just sent bytes, for any request. */
+  /** Returns true if the engine has just sent bytes, for any request. */
   isActive(): boolean;
-  /** Polls it; false if it does not answer in time. */
+  /** Polls the engine; resolves with false if no reply arrives in time. */
   ask(): Promise<boolean>;
 }
 
 /**
- * The reservations of one prompt, renewed only while its engine is alive: one
- * that loses power resets no connection, and a long prompt's first token may
- * take many seconds.
+ * KV cache reservations of one prompt, renewed only while the decoding engine
+ * is alive. An open connection does not show that: an engine that loses power
+ * resets no connection, and the first token of a long prompt may take many
+ * seconds.
  *
  * @example
  * const lease = await openKvLease(reservations, 'gate-1/7', requests, engine);
@@ -46,7 +47,7 @@
  */
 export class KvLease {
   private readonly timer: NodeJS.Timeout;
-  /** Renewals under way. */
+  /** Renewals without a reply yet. */
   private readonly renewals = new Set<Promise<LeasedReservation>>();
   private isClosed = false;
   private missedPolls = 0;
@@ -60,14 +61,15 @@
     this.timer = setInterval(() => this.handleRenewalTimer(), RENEW_MS);
   }
 
-  /** Finds the ticket of a reservation on `target`. */
+  /** Returns the ticket of the reservation on `target`. */
   findTicket(target: string): string | undefined {
     return this.tickets.find(held => held.target.id === target)?.ticket;
   }
 
   /**
-   * Releases everything. A renewal under way may arrive after the release, so
-   * it is released again once answered.
+   * Stops the renewals and releases all reservations. A pending renewal may
+   * reach its target after the release, so its reservation is released again
+   * once the renewal has completed.
    */
   close(): void {
     this.isClosed = true;
@@ -109,17 +111,18 @@
   }
 }
 
-/** KV cache wanted on one target. */
+/** Amount of KV cache to reserve on one target. */
 export interface KvRequest {
   readonly target: Target;
   readonly tokens: number;
 }
 
 /**
- * Reserves everything or nothing. If one reservation fails, the others are
- * released, and so are unanswered ones, which may have been granted.
+ * Reserves KV cache on all targets or on none. If one reservation fails, all
+ * except refused ones are released, including those without a reply, which may
+ * have been granted.
  *
- * @returns Nothing if one of them was not granted.
+ * @returns The lease; undefined if a reservation was not granted.
  * @example
  * const lease = await openKvLease(reservations, 'gate-1/7', requests, engine);
  */
--- a/packages/direct/src/forward/open-exchanges.ts
+++ b/packages/direct/src/forward/open-exchanges.ts
@@ -1,6 +1,7 @@
 /**
- * Exchanges under way, by the address of their target. A server that loses
- * power resets no connection, but another one may appear at its address.
+ * Tracks running exchanges by the address of their target. A server that loses
+ * power resets no connection; a new server at the same address shows that it is
+ * gone.
  */
 import {isNewer} from '../fleet/fact-position.js';
 import {openExchange} from './exchange.js';
@@ -13,7 +14,7 @@
 }
 
 /**
- * The exchanges of one gate.
+ * Running exchanges of one gate.
  *
  * @example
  * const exchange = exchanges.open({target, method, path, headers, body});
@@ -22,7 +23,7 @@
 export class OpenExchanges {
   private readonly byAddress = new Map<string, Set<OpenExchange>>();
 
-  /** Sends a request to a target. */
+  /** Sends a request to a target and tracks it until its connection closes. */
   open(options: ExchangeOptions): Exchange {
     const {target} = options;
     const exchange = openExchange(options);
@@ -38,12 +39,13 @@
   }
 
   /**
-   * Fails exchanges with servers that had the address of `target` before it.
+   * Fails the exchanges with servers that used the address of `target` before
+   * it.
    */
   endReplaced(target: Target): void {
     const sameAddress = this.byAddress.get(formatAddress(target)) ?? [];
     for (const {exchange, target: earlier} of [...sameAddress]) {
-      // A late message about an older entry says nothing about a newer one.
+      // A delayed update of an older entry must not fail newer exchanges.
       const isReplaced =
         earlier.id !== target.id && isNewer(target.position, earlier.position);
       if (isReplaced) exchange.markBroken();
--- a/packages/direct/src/forward/request.ts
+++ b/packages/direct/src/forward/request.ts
@@ -1,27 +1,30 @@
-/** A caller's request as the forwarders see it. */
+/** Request type that is passed from the ingress to the forwarders. */
 import type {CallerResponse} from './caller-response.js';
 import type {RawHeaders, RequestFacts, Route} from '../types.js';
 
-/** A request that passed the checks of the ingress. */
+/** Request that has passed the checks of the ingress. */
 export interface GateRequest {
   readonly method: string;
-  /** Path with its query, as the caller sent it. */
+  /** Path and query string as sent by the caller. */
   readonly path: string;
   readonly headers: RawHeaders;
   readonly body: Buffer;
   readonly facts: RequestFacts;
   readonly route: Route;
-  /** Service chosen among the route's splits. */
+  /** Service chosen from the traffic splits of the route. */
   readonly service: string;
   /** Name of the client account; absent on public routes. */
   readonly account: string | undefined;
-  /** Arrival of the head on the monotonic clock, in ms. */
+  /** Arrival time of the request head on the monotonic clock, in ms. */
   readonly arrivedAt: number;
-  /** The earlier of the caller's deadline and the route's timeout. */
+  /**
+   * Deadline on the monotonic clock, in ms: the earlier of the caller's
+   * deadline and the end of the route's timeout.
+   */
   readonly expiresAt: number;
-  /** Version of the configuration that routed it. */
+  /** Version of the configuration that the request was routed with. */
   readonly configVersion: number;
-  /** Event after which the caller resumes. */
+  /** Id of the last event that the caller received before it reconnected. */
   readonly lastEventId: string | undefined;
   readonly caller: CallerResponse;
 }
--- a/packages/direct/src/forward/retry-after.ts
+++ b/packages/direct/src/forward/retry-after.ts
@@ -1,13 +1,14 @@
-/** Retry-After of requests that did not run. */
+/** Chooses Retry-After for requests that did not run. */
 
-/** Shortest wait, in ms: several iterations of a busy engine. */
+/** Shortest base delay, in ms: several iterations of a busy engine. */
 const MIN_RETRY_AFTER_MS = 350;
 
 /**
- * Chooses a Retry-After. Jitter spreads callers that were refused together.
+ * Chooses a Retry-After delay, in ms. Random jitter spreads the retries of
+ * callers that were refused at the same time.
  *
  * @param queueMs - Predicted time until the queue is empty, in ms.
- * @param leftMs - Time that the caller has left, in ms.
+ * @param leftMs - Time until the caller's deadline, in ms.
  * @example
  * chooseReturnMs(0, 9000); // between 350 and 700
  */
--- a/packages/direct/src/forward/slot-finder.ts
+++ b/packages/direct/src/forward/slot-finder.ts
@@ -1,6 +1,6 @@
 /**
- * Finds engines for a stream: at once, later if that costs less overall, or
- * after a wait in the admission queue.
+ * Finds engines for a stream: immediately, after a deferral if that costs less
+ * overall, or after a wait in the admission queue.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {PlacedPrompt} from '../placement/prompt-placer.js';
@@ -10,14 +10,14 @@
 import type {GateRequest} from './request.js';
 
 /**
- * Longest time until a deferred prompt is reconsidered, in ms: about one
- * iteration.
+ * Maximum time until the placement of a deferred prompt is evaluated again, in
+ * ms: about one iteration of an engine.
  */
 const REEVALUATE_MS = 60;
 
 /**
- * Why no engine was found: no free slot, no engine that could ever take it, or
- * no longer wanted.
+ * Reason for which no engine was found: no slot is free (`full`), no engine can
+ * run the prompt (`none`), or the search was aborted (`left`).
  */
 export type NoSlotReason = 'full' | 'none' | 'left';
 
@@ -26,13 +26,13 @@
 }
 
 /**
- * Finds engines for one stream, for each of its attempts.
+ * Finds the engines for each attempt at one stream.
  *
  * @example
  * const placed = await new SlotFinder(context, request, engine, tried).findSlot(false, signal);
  */
 export class SlotFinder {
-  /** @param tried - Engines to avoid. */
+  /** @param tried - Ids of the engines to avoid. */
   constructor(
     private readonly context: ForwardContext,
     private readonly request: GateRequest,
@@ -41,9 +41,11 @@
   ) {}
 
   /**
-   * @param mayOverfill - Takes an engine even if all slots are taken.
-   * @param signal - Aborted when no engine is wanted any more; none is held
-   *   after that.
+   * Finds engines for the next attempt.
+   *
+   * @param mayOverfill - True to use an engine even if all its slots are taken.
+   * @param signal - Aborted when no engine is needed any more; a slot that was
+   *   found by then is released.
    */
   async findSlot(
     mayOverfill: boolean,
@@ -56,7 +58,10 @@
     return 'left';
   }
 
-  /** Defers a prompt while sending it would cost others more than it gains. */
+  /**
+   * Waits while placing the prompt now would cost other prompts more than it
+   * gains.
+   */
   private async waitForSendTime(
     mayOverfill: boolean,
     signal: AbortSignal,
--- a/packages/direct/src/forward/stall-timer.ts
+++ b/packages/direct/src/forward/stall-timer.ts
@@ -1,36 +1,41 @@
-/** Detects stalled engines. */
+/** Timeouts that detect stalled engines. */
 import {ReadTimeout} from '@nutmeggauge/core';
 
 /**
- * Time within which another answer of an engine shows that it is alive, in ms.
+ * Period within which bytes of an engine for any request show that the engine
+ * is alive, in ms.
  */
 export const LIVENESS_WINDOW_MS = 600;
 
 /**
- * Time without a first token after which another engine is tried: a multiple of
- * the prediction and a slack in ms.
+ * Timeout of the first token, after which another engine is tried: a multiple
+ * of the predicted time to first token plus a slack in ms.
  */
 const TTFT_FACTOR = 2;
 const TTFT_SLACK_MS = 700;
 
 /**
- * Slack for a prompt with a long prefill, in ms: its engine reports a dead
- * helper itself after a stall of 1,500 ms.
+ * Prefill time above which a prompt counts as long, and the slack for long
+ * prompts, both in ms. The decoding engine reports a dead prefill helper itself
+ * after a stall of 1,500 ms.
  */
 const LONG_PREFILL_MIN_MS = 400;
 const LONG_PREFILL_SLACK_MS = 2500;
 
 /**
- * Multiple of the objective that such a prompt is given in any case: newer
- * prompts preempt it, and a second prefill adds load when there is most of it.
+ * Shortest first-token timeout of a prompt with a long prefill, as a multiple
+ * of the objective. Newer prompts preempt its prefill, and a second prefill
+ * would add load when load is highest.
  */
 const LONG_PREFILL_OBJECTIVE_FACTOR = 1.75;
 
 /**
- * Time without a first token after which another engine is tried, in ms.
+ * Returns the time without a first token after which another engine is tried,
+ * in ms.
  *
- * @param prefillMs - Prefill of the prompt on one idle engine, in ms.
- * @param objectiveMs - Objective of the first token, in ms.
+ * @param predictedTtftMs - Predicted time to first token, in ms.
+ * @param prefillMs - Prefill time of the prompt on one idle engine, in ms.
+ * @param objectiveMs - Objective for the time to first token, in ms.
  * @example
  * countTtftLimitMs(400, 1500, 3000); // 5250
  */
@@ -47,12 +52,12 @@
   );
 }
 
-/** What to do about a stall. */
+/** Whether the timer restarts after a stall (`wait`) or stops (`ignore`). */
 export type StallVerdict = 'wait' | 'ignore';
 
 /**
- * A timer that each received byte resets. After a suspension, sockets are read
- * before it expires.
+ * Timer that its owner restarts when events arrive. When the process resumes
+ * after a suspension, sockets are read before the timer expires.
  *
  * @example
  * const stall = new StallTimer(() => 'wait');
@@ -63,13 +68,12 @@
 
   constructor(private readonly judge: () => StallVerdict) {}
 
-  /** Restarts the timer. */
+  /** Starts or restarts the timer. */
   restart(ms: number): void {
     this.timeout?.stop();
     this.timeout = new ReadTimeout(() => this.handleExpiry(), ms);
   }
 
-  /** Stops the timer. */
   stop(): void {
     this.timeout?.stop();
   }
--- a/packages/direct/src/forward/stream-attempt.ts
+++ b/packages/direct/src/forward/stream-attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt at a stream: KV reservations on helpers if needed, one exchange
- * with the decoding engine, and its events forwarded.
+ * Runs one attempt at a stream: reserves KV cache on prefill helpers if needed,
+ * sends the request to the decoding engine and forwards its events.
  */
 import {ExchangeError} from '../errors.js';
 import {estimatePrefillMs} from '../placement/engine-model.js';
@@ -23,54 +23,60 @@
 import type {StreamProgress} from './stream-progress.js';
 
 /**
- * Multiple of the inter-token objective, and least time in ms, after which a
- * stream counts as stalled.
+ * Time without an event after which a stream counts as stalled: a multiple of
+ * the inter-token latency objective, and a minimum in ms.
  */
 const STALL_ITL_FACTOR = 2.5;
 const STALL_MIN_MS = 1000;
 
-/** Age up to which bytes of an engine show that it is alive, in ms. */
+/** Period within which bytes of an engine show that it is alive, in ms. */
 const ACTIVITY_WINDOW_MS = 400;
 
-/** Priority at the engine by prompt size: short prompts first. */
+/**
+ * Engine priority by maximum prompt size in tokens; short prompts go first.
+ */
 const PRIORITY_BY_TOKENS: ReadonlyArray<readonly [number, number]> = [
   [16_000, 2],
   [80_000, 4],
   [Infinity, 5],
 ];
 
-/** How an attempt ended. */
+/** Result of an attempt. */
 export type AttemptEnd =
-  /** The caller has the complete answer. */
+  /** The caller has received the complete stream. */
   | {readonly kind: 'done'}
-  /** The caller has a failure that the target signed. */
+  /** The caller has received an error response of the target. */
   | {readonly kind: 'passed-on'}
-  /** Helpers lacked KV cache; nothing was sent. */
+  /** Helpers lacked KV cache, so the request was not sent. */
   | {readonly kind: 'no-memory'}
   | {readonly kind: 'not-run'; readonly faultyAddress: string | undefined}
   | {readonly kind: 'failed'; readonly error: ExchangeError};
 
-/** Parameters of an attempt. */
+/** Options of an attempt. */
 export interface StreamAttemptOptions {
   readonly context: ForwardContext;
   readonly request: GateRequest;
   readonly engine: EngineFigures;
   readonly placed: PlacedPrompt;
   readonly progress: StreamProgress;
-  /** Name of this attempt for its reservations. */
+  /** Unique name of the attempt, used as the ticket of its reservations. */
   readonly name: string;
-  /** True if another attempt may follow, or is under way. */
+  /** Returns true if another attempt may start or is running. */
   readonly isBackupPossible: () => boolean;
-  /** Starts another engine; this one is kept until that has begun. */
+  /**
+   * Starts an attempt at another engine; this attempt continues until the other
+   * one forwards its first event.
+   */
   readonly startBackup: () => void;
   /**
-   * Claims the caller's answer for this attempt; false if another one has it.
+   * Claims the caller's response for this attempt; returns false if another
+   * attempt has claimed it.
    */
   readonly claimResponse: () => boolean;
 }
 
 /**
- * One attempt.
+ * One attempt at a stream.
  *
  * @example
  * const end = await new StreamAttempt(options).run();
@@ -81,7 +87,7 @@
 
   constructor(private readonly options: StreamAttemptOptions) {}
 
-  /** Runs to the end; never rejects for a failure of targets. */
+  /** Runs the attempt; resolves, not rejects, if a target fails. */
   async run(): Promise<AttemptEnd> {
     const lease = await this.openLease();
     if (lease === 'refused') return {kind: 'no-memory'};
@@ -96,7 +102,7 @@
     }
   }
 
-  /** Cancels the attempt, so that its engine drops the request. */
+  /** Cancels the attempt, so that the engine drops the request. */
   cancel(): void {
     this.isCancelled = true;
     this.exchange?.cancel();
@@ -130,7 +136,7 @@
   }
 
   private async runExchange(lease?: KvLease): Promise<AttemptEnd> {
-    // The caller may have left during the reservation.
+    // The attempt may have been cancelled while KV cache was being reserved.
     if (this.isCancelled) throw new ExchangeError('cancelled', false);
     const exchange = this.sendToDecoder(lease);
     this.exchange = exchange;
@@ -158,7 +164,7 @@
   private sendToDecoder(lease?: KvLease): Exchange {
     const {context, request, placed, progress} = this.options;
     const tokens = request.facts.promptTokens ?? 0;
-    const priority = PRIORITY_BY_TOKENS.find(([most]) => tokens <= most)?.[1];
+    const priority = PRIORITY_BY_TOKENS.find(([limit]) => tokens <= limit)?.[1];
     return context.exchanges.open({
       target: placed.target,
       method: request.method,
@@ -179,9 +185,10 @@
   }
 
   /**
-   * Starts another engine only if one is allowed and free, and this one is
-   * neither prefilling newer prompts nor answering others: a second prefill
-   * adds load. This one is kept, as it may resume first.
+   * Starts a backup attempt if a retry is allowed, another engine has a free
+   * slot, and this engine is neither expected to be prefilling nor sending
+   * bytes for other requests, since a second prefill adds load. This attempt
+   * continues in either case, as its engine may resume first.
    */
   private judgeStall(): StallVerdict {
     const {context, placed, isBackupPossible, startBackup} = this.options;
@@ -226,7 +233,7 @@
 
   private startResponse(head: ResponseHead): void {
     const {request, progress} = this.options;
-    // A resumed stream keeps the head of its first engine.
+    // A resumed stream keeps the response head of its first engine.
     if (progress.hasHead) return;
     const framing = findFraming(head.message);
     request.caller.start(head.status, head.message.rawHeaders, framing);
@@ -260,14 +267,17 @@
         if (ttftMs !== undefined) context.ttftMs.recordMs(ttftMs);
       }
     }
-    // A framed answer must not end with an unframed one.
+    // A framed response must not end with the body of an unframed one.
     const framing = findFraming(head.message);
     const isFramingLost = framing === 'by-close' && !progress.isUnframed;
     if (splitter.hasPartialEvent || isFramingLost)
       throw new ExchangeError('truncated', true);
   }
 
-  /** Forwards a failure that the target signed, before any event. */
+  /**
+   * Forwards an error response of the target if no event has been sent and no
+   * other attempt is possible.
+   */
   private async forwardFailure(
     exchange: Exchange,
     head: ResponseHead,
--- a/packages/direct/src/forward/stream-forwarder.ts
+++ b/packages/direct/src/forward/stream-forwarder.ts
@@ -1,7 +1,7 @@
 /**
- * Forwards a stream. If its engine dies, stalls or sends garbage, another one
- * continues after the last whole event within the same answer, where the route
- * allows it.
+ * Forwards streams. If an engine dies, stalls or sends an invalid response,
+ * another engine resumes the stream after the last complete event within the
+ * same response, if the route allows it.
  */
 import {PlacedPrompt} from '../placement/prompt-placer.js';
 import {AttemptChain} from './attempt-chain.js';
@@ -17,27 +17,29 @@
 import type {AttemptFault} from './stream-record.js';
 
 /**
- * Retry-After when all slots are taken, in ms: about as long as a slot is held.
+ * Base of Retry-After when all slots are taken, in ms: about the time for which
+ * a stream occupies a slot.
  */
 const OVERLOAD_RETRY_AFTER_MS = 1200;
 
-/** Time left below which no further engine is tried, in ms. */
+/** Minimum time until the deadline to try another engine, in ms. */
 const MIN_RETRY_LEFT_MS = 250;
 
-/** Attempts whose connection could not be opened, at most. */
+/** Maximum number of attempts that fail before the request is sent. */
 const MAX_UNSENT_ATTEMPTS = 4;
 
-/** An end of an attempt that leaves the caller without an answer. */
+/** Result of an attempt after which the response is still incomplete. */
 type FailedEnd = Exclude<AttemptEnd, {kind: 'done' | 'passed-on'}>;
 
-/** Why the gate refuses a stream itself. */
+/** Reason for which the gate refuses a stream. */
 type RefusalReason = 'no_target' | 'not_run' | 'too_late' | 'overloaded';
 
-/** One stream under way. */
+/** State of one forwarded stream and its attempts. */
 class StreamRun {
   private readonly tried = new Set<string>();
   /**
-   * Chains under way: two while a stalled engine is kept beside another one.
+   * Running chains: two while a backup runs beside a stalled engine, otherwise
+   * one.
    */
   private readonly chains = new Set<AttemptChain>();
   private readonly progress: StreamProgress;
@@ -87,21 +89,21 @@
     chain.close();
   }
 
-  /** True if another chain is under way. */
+  /** Returns true if a chain other than `chain` is running. */
   private isOtherChainOpen(chain: AttemptChain): boolean {
     return [...this.chains].some(other => other !== chain);
   }
 
   /**
-   * Places the stream; if that fails, answers the caller unless another chain
-   * may.
+   * Places the next attempt. If no engine is found, responds to the caller
+   * unless another chain is running.
    */
   private async place(chain: AttemptChain): Promise<PlacedPrompt | undefined> {
     if (this.sentAttempts > 0 && this.readLeftMs() < MIN_RETRY_LEFT_MS) {
       this.giveUp(chain, 'no_time_left');
       return undefined;
     }
-    // Streams that have been attempted skip the queue.
+    // A stream that has already been attempted skips the admission queue.
     const mayOverfill = this.sentAttempts > 0 || this.unsentAttempts > 0;
     const result = await this.finder.findSlot(mayOverfill, chain.signal);
     if (result instanceof PlacedPrompt)
@@ -112,7 +114,10 @@
     return undefined;
   }
 
-  /** Releases the slot if the answer would come after the deadline. */
+  /**
+   * Releases the slot if the first token is predicted after the deadline or the
+   * chain is closed.
+   */
   private checkDeadline(
     chain: AttemptChain,
     placed: PlacedPrompt,
@@ -157,7 +162,7 @@
     return end;
   }
 
-  /** Each stall starts one other engine only. */
+  /** Returns true if a backup is running or may be started for the chain. */
   private isBackupPossible(chain: AttemptChain): boolean {
     return (
       this.isOtherChainOpen(chain) ||
@@ -165,18 +170,19 @@
     );
   }
 
-  /** A stream that cannot be resumed may run only once. */
+  /** Returns false for a stream that cannot be resumed: it runs only once. */
   private isRetryAllowed(): boolean {
     const {isResumable, maxAttempts} = this.request.route;
     return isResumable && this.sentAttempts < maxAttempts;
   }
 
   /**
-   * Starts another engine for a stalled one, if allowed and in time. Whichever
-   * sends the next event first has the stream.
+   * Starts a backup chain for a stalled one if the retry budget and the
+   * deadline allow it. The chain that delivers the next event first claims the
+   * response.
    */
   private startBackup(silent: AttemptChain, placed: PlacedPrompt): void {
-    // The stream may have ended in the turn in which the stall shows.
+    // The stream may end in the same event-loop turn as the stall timer.
     if (silent.isClosed || this.isOtherChainOpen(silent)) return;
     const {predictedTtftMs} = placed.choice;
     const neededMs = Math.max(MIN_RETRY_LEFT_MS, predictedTtftMs);
@@ -190,8 +196,8 @@
   }
 
   /**
-   * Gives the stream to one chain and closes the other; false if the other was
-   * first.
+   * Claims the response for one chain and closes the other; returns false if
+   * the other chain has claimed it already.
    */
   private claimResponse(chain: AttemptChain): boolean {
     if (chain.isClosed) return false;
@@ -228,7 +234,10 @@
     this.claimNextAttempt(chain, end);
   }
 
-  /** Nothing left this host, so the attempt does not count. */
+  /**
+   * Counts an attempt that sent no request and therefore does not count against
+   * the attempt limit; gives up after too many of them.
+   */
   private countUnsent(chain: AttemptChain): void {
     this.sentAttempts--;
     if (++this.unsentAttempts >= MAX_UNSENT_ATTEMPTS)
@@ -244,11 +253,11 @@
     if (!this.claimRetry()) this.giveUp(chain, 'retry_budget_spent');
   }
 
-  /** Records which target failed, so that the next attempt avoids it. */
+  /** Marks the target that failed, so that later attempts avoid it. */
   private markFaultyTarget(placed: PlacedPrompt, end: FailedEnd): void {
     const {health, readNow} = this.context;
     if (end.kind === 'no-memory') {
-      // A full helper is not unhealthy: only this stream avoids it.
+      // A helper without free KV cache is healthy; only this stream avoids it.
       for (const {target} of placed.choice.reservations) this.tried.add(target);
       return;
     }
@@ -267,21 +276,25 @@
     );
   }
 
-  /** Ends a chain; the last one ends the stream. */
+  /** Ends a chain; refuses the stream if no other chain is running. */
   private giveUp(chain: AttemptChain, why: string): void {
     if (this.isOtherChainOpen(chain)) return this.closeForOther(chain);
     this.record.addGivenUp(why, [...this.tried]);
     this.refuse(chain, why === 'no_target' ? 'no_target' : 'not_run', 0);
   }
 
-  /** @param queueMs - Time until engines may have free slots, in ms. */
+  /**
+   * Refuses the stream unless another chain is running.
+   *
+   * @param queueMs - Expected time until an engine has a free slot, in ms.
+   */
   private refuse(
     chain: AttemptChain,
     reason: RefusalReason,
     queueMs: number,
   ): void {
     if (this.isOtherChainOpen(chain)) return this.closeForOther(chain);
-    // Only a request that has not run may be called "not run".
+    // A refusal with 503 is allowed only for a request that has not run.
     if (this.progress.hasHead || this.mayHaveRun)
       return this.endWithError(502, 'outcome_unknown');
     const retryDelayMs = chooseRetryAfterMs(queueMs, this.readLeftMs());
@@ -296,8 +309,8 @@
   }
 
   /**
-   * Gives up at once if the remaining engine is dead and the caller has nothing
-   * yet.
+   * Gives up without waiting for the deadline if the stalled engine of the
+   * remaining chain is dead.
    */
   private async checkAlive(chain: AttemptChain): Promise<void> {
     if (chain.placed === undefined) return;
@@ -338,7 +351,7 @@
     });
   }
 
-  /** Time until the caller's deadline, in ms. */
+  /** Returns the time until the request's deadline, in ms. */
   private readLeftMs(): number {
     return this.request.expiresAt - this.context.readNow();
   }
@@ -350,7 +363,7 @@
 }
 
 /**
- * Forwards one stream; the caller gets exactly one answer.
+ * Forwards one stream. The caller gets exactly one response.
  *
  * @example
  * forwardStream(context, request, engine);
--- a/packages/direct/src/forward/stream-progress.ts
+++ b/packages/direct/src/forward/stream-progress.ts
@@ -1,17 +1,17 @@
-/** Progress of a stream over all attempts, as the caller sees it. */
+/** Tracks what the caller has received of a stream over all attempts. */
 import type {DecisionFields} from '../observe/decision-log.js';
 import type {PromptChoice} from '../placement/prompt-types.js';
 
 /**
- * Progress of one stream.
+ * Progress of one stream over all attempts, as seen by the caller.
  *
  * @example
  * progress.recordEvent(event.id, performance.now());
  */
 export class StreamProgress {
-  /** The head has been sent: no other answer is possible. */
+  /** True once the response head is sent; no error status is possible then. */
   hasHead = false;
-  /** The answer ends with its connection. */
+  /** True if the end of the connection marks the end of the response. */
   isUnframed = false;
   eventsSent = 0;
   private firstTokenAt: number | undefined;
@@ -19,21 +19,22 @@
   private maxItlMs = 0;
   private choice: PromptChoice | undefined;
 
-  /** @param lastEventId - Id of the last event that the caller has. */
+  /** @param lastEventId - Id of the last event that the caller received. */
   constructor(
     private readonly arrivedAt: number,
     public lastEventId: string | undefined,
   ) {}
 
-  /** Records the placement of a new attempt. */
+  /** Records the engines that were chosen for a new attempt. */
   recordChoice(choice: PromptChoice): void {
     this.choice = choice;
   }
 
   /**
-   * Records an event that was sent.
+   * Records an event that was sent to the caller.
    *
-   * @returns Time to first token, in ms, for the first event.
+   * @returns Time to first token, in ms, for the first event; otherwise
+   *   undefined.
    */
   recordEvent(id: string | undefined, now: number): number | undefined {
     if (id !== undefined) this.lastEventId = id;
@@ -46,7 +47,7 @@
     return now - this.arrivedAt;
   }
 
-  /** Log fields of the end of the stream. */
+  /** Returns the log fields that describe the stream when it ends. */
   describe(): DecisionFields {
     const ttftMs =
       this.firstTokenAt === undefined
--- a/packages/direct/src/forward/stream-record.ts
+++ b/packages/direct/src/forward/stream-record.ts
@@ -1,4 +1,4 @@
-/** Log lines and counters of one stream. */
+/** Writes the log events and counters of streams. */
 import type {ExchangeFault} from '../errors.js';
 import type {PlacedPrompt} from '../placement/prompt-placer.js';
 import type {Target} from '../types.js';
@@ -6,24 +6,24 @@
 import type {GateRequest} from './request.js';
 import type {StreamProgress} from './stream-progress.js';
 
-/** How an attempt failed, as logged. */
+/** Reason for which an attempt failed, as logged. */
 export type AttemptFault =
   | ExchangeFault
   | 'no-memory'
   | 'not-run'
-  /** A stalled engine resumed first. */
+  /** Another attempt claimed the response first. */
   | 'overtaken';
 
-/** One attempt that failed. */
+/** Attempt that failed. */
 export interface FailedAttempt {
   readonly placed: PlacedPrompt;
   readonly fault: AttemptFault;
   readonly faultyAddress: string | undefined;
-  /** Number of the newest attempt. */
+  /** Number of the newest attempt, starting from 1. */
   readonly attempt: number;
 }
 
-/** The end of a stream. */
+/** Outcome of a stream. */
 export interface StreamEnd {
   readonly outcome: string;
   readonly target: Target | undefined;
@@ -32,7 +32,7 @@
 }
 
 /**
- * Record of one stream.
+ * Writes the log events and counters of one stream.
  *
  * @example
  * record.addPlacement(placed, 1);
@@ -44,7 +44,7 @@
     private readonly progress: StreamProgress,
   ) {}
 
-  /** A stream was placed and is sent. */
+  /** Records that an attempt was placed and is about to be sent. */
   addPlacement({choice}: PlacedPrompt, attempt: number): void {
     const {context, request} = this;
     this.progress.recordChoice(choice);
@@ -66,7 +66,7 @@
     });
   }
 
-  /** An engine has stalled; it is kept while another one is started. */
+  /** Records that an engine has stalled and a backup is started. */
   addStall({target}: PlacedPrompt): void {
     const {context, request} = this;
     context.counters.add('stream.engine_silent');
@@ -78,7 +78,7 @@
     });
   }
 
-  /** An attempt has failed. */
+  /** Records that an attempt has failed. */
   addFailure({placed, fault, faultyAddress, attempt}: FailedAttempt): void {
     const {context, request} = this;
     context.counters.add(`stream.attempt_${fault}`);
@@ -94,7 +94,7 @@
     });
   }
 
-  /** Nothing more is tried. */
+  /** Records that no further attempt is made. */
   addGivenUp(why: string, tried: readonly string[]): void {
     this.context.log.warn('request_given_up', {
       requestId: this.request.facts.requestId,
@@ -104,7 +104,7 @@
     });
   }
 
-  /** The caller has its answer, or has left. */
+  /** Records that the caller has a response or has disconnected. */
   addEnd({outcome, target, tried, sends}: StreamEnd): void {
     const {context, request} = this;
     context.counters.add(`stream.${outcome}`);
--- a/packages/direct/src/ingress/ingress.ts
+++ b/packages/direct/src/ingress/ingress.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' side: reads requests, checks route and key, and hands them to
- * the forwarders.
+ * HTTP server for callers: reads requests, checks their routes and API keys,
+ * and passes them to the forwarders.
  */
 import {createServer} from 'node:http';
 import {
@@ -19,26 +19,26 @@
 import type {GateRequest} from '../forward/request.js';
 import type {RequestFacts, Route} from '../types.js';
 
-/** Deadline of a caller that sends none, in ms. */
+/** Deadline of a request that specifies none, in ms after its arrival. */
 const DEFAULT_DEADLINE_MS = 60_000;
 
-/** Largest request head, in bytes; above it Node answers 431. */
+/** Maximum size of a request head, in bytes; Node.js answers 431 above it. */
 const MAX_HEAD_BYTES = 64 * 1024;
 
-/** Idle timeout before the first configuration, in ms. */
+/** Idle timeout of connections until a configuration is applied, in ms. */
 const DEFAULT_IDLE_MS = 15_000;
 
 /**
- * Age of the facts above which an unknown key or route may be new, in ms: above
- * one long poll of the store and one heartbeat.
+ * Age of the fleet state above which an unknown API key or route may be new, in
+ * ms: longer than one long poll of the store plus one heartbeat.
  */
 const STALE_FACTS_MS = 4000;
 
-/** Retry-After if another gate can serve at once, in ms. */
+/** Retry-After when another gate can serve the request at once, in ms. */
 const OTHER_GATE_RETRY_AFTER_MS = 20;
 
 /**
- * The callers' HTTP server.
+ * HTTP server for callers.
  *
  * @example
  * const ingress = createIngress(context, () => false);
@@ -67,31 +67,34 @@
     });
   }
 
-  /** Requests without a complete answer. */
+  /** Number of requests whose response is not complete. */
   get inFlight(): number {
     return this.open;
   }
 
-  /** Starts listening; resolves with the bound port. */
+  /** Starts to listen; resolves with the bound port. */
   start(address: ListenAddress): Promise<number> {
     return openListener(this.server, address);
   }
 
-  /** Refuses new requests on kept connections as not run. */
+  /**
+   * Refuses new requests, including those on kept-alive connections, with 503
+   * and a short Retry-After, and closes idle connections.
+   */
   async stopTaking(): Promise<void> {
     this.isClosing = true;
     await waitForReading(this.server);
     this.server.closeIdleConnections();
   }
 
-  /** Stops listening, and closes connections without a request. */
+  /** Stops listening and closes idle connections. */
   async closeIdle(): Promise<void> {
     await waitForReading(this.server);
     this.server.close();
     this.server.closeIdleConnections();
   }
 
-  /** Cuts every connection. */
+  /** Stops listening and closes all connections, also those in use. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
@@ -186,7 +189,8 @@
   }
 
   /**
-   * A gate with stale facts cannot say that a key or a route does not exist.
+   * Refuses a request with an unknown key or route. A gate with stale fleet
+   * state responds with 503, as it cannot know whether the key or route exists.
    */
   private refuseUnknown(
     caller: CallerResponse,
@@ -221,7 +225,7 @@
   }
 }
 
-/** Reads a body; nothing if it is larger than `limit`. */
+/** Reads a request body; returns undefined if it exceeds `limit` bytes. */
 async function readBody(
   req: IncomingMessage,
   limit: number,
@@ -235,7 +239,7 @@
       parts.push(part);
     }
   } catch {
-    // The caller has left; its response's close event handles it.
+    // The caller disconnected; the close event of the response handles that.
     return Buffer.alloc(0);
   }
   return Buffer.concat(parts);
@@ -247,7 +251,10 @@
   return Array.isArray(value) ? value[0] : value;
 }
 
-/** Chooses among a route's services by weight; nothing if it has none. */
+/**
+ * Chooses a service of the route by weight; returns undefined if the route has
+ * none.
+ */
 function chooseService(route: Route): string | undefined {
   const total = route.splits.reduce((sum, split) => sum + split.weight, 0);
   let left = Math.random() * total;
@@ -259,7 +266,7 @@
 }
 
 /**
- * Creates the callers' server.
+ * Creates the HTTP server for callers.
  *
  * @example
  * const ingress = createIngress(context, () => isDraining);
