--- a/packages/direct/src/forward/call-forwarder.test.ts
+++ b/packages/direct/src/forward/call-forwarder.test.ts
@@ -9,55 +9,60 @@
 import type {TargetScript} from '../test/fake-target.js';
 import type {GateWorld} from '../test/gate-world.js';
 
-const dropAnswer: TargetScript = req => req.socket.destroy();
+const dropConnection: TargetScript = req => req.socket.destroy();
 
-/** Runs `check` with the two targets `a` and `b`. */
+/** Runs `check` with two targets whose scripts are `a` and `b`. */
 async function checkWithTargets(
   a: TargetScript,
   b: TargetScript,
-  check: (world: GateWorld, counts: () => readonly number[]) => Promise<void>,
+  check: (harness: GateWorld, counts: () => readonly number[]) => Promise<void>,
 ): Promise<void> {
-  const world = await openGateWorld();
+  const harness = await openGateWorld();
   try {
-    const first = await world.addTarget('a', 'orders', a);
-    const second = await world.addTarget('b', 'orders', b);
-    await world.waitUntil(() => isListed(world, 2));
-    await check(world, () => [first.received.length, second.received.length]);
+    const first = await harness.addTarget('a', 'orders', a);
+    const second = await harness.addTarget('b', 'orders', b);
+    await harness.waitUntil(() => isListed(harness, 2));
+    await check(harness, () => [first.received.length, second.received.length]);
   } finally {
-    world.close();
+    harness.close();
   }
 }
 
-function isListed(world: GateWorld, count: number): boolean {
+function isListed(harness: GateWorld, count: number): boolean {
   return (
-    world.lines.filter(line => line.includes('"target_added"')).length === count
+    harness.lines.filter(line => line.includes('"target_added"')).length ===
+    count
   );
 }
 
-describe('forwarded calls', () => {
-  it('never sends an order again whose answer was lost', async () => {
-    // Guards against an order that runs twice because its answer was lost.
-    await checkWithTargets(dropAnswer, dropAnswer, async (world, counts) => {
-      const answer = await world.call('/unsafe2/order', {method: 'POST'});
-      expect(answer.status).toEqual(502);
-      const [a, b] = counts();
-      expect(a + b).toEqual(1);
-    });
+describe('call forwarder', () => {
+  it('does not retry an unsafe call whose response was lost', async () => {
+    // Guards against an order that runs twice because its response was lost.
+    await checkWithTargets(
+      dropConnection,
+      dropConnection,
+      async (harness, counts) => {
+        const answer = await harness.call('/unsafe2/order', {method: 'POST'});
+        expect(answer.status).toEqual(502);
+        const [a, b] = counts();
+        expect(a + b).toEqual(1);
+      },
+    );
   });
 
-  it('never says "not run" of an order that may have run', async () => {
-    await checkWithTargets(dropAnswer, dropAnswer, async world => {
-      const {status} = await world.call('/unsafe/order', {method: 'POST'});
+  it('does not report an unsafe call as not run if its response was lost', async () => {
+    await checkWithTargets(dropConnection, dropConnection, async harness => {
+      const {status} = await harness.call('/unsafe/order', {method: 'POST'});
       expect([408, 421, 429, 503].includes(status)).toEqual(false);
     });
   });
 
-  it('sends an order on that a full target provably did not run', async () => {
+  it('retries an unsafe call that a target reports as not run, then refuses it with Retry-After', async () => {
     await checkWithTargets(
       answerNotRun,
       answerNotRun,
-      async (world, counts) => {
-        const answer = await world.call('/unsafe2/order', {method: 'POST'});
+      async (harness, counts) => {
+        const answer = await harness.call('/unsafe2/order', {method: 'POST'});
         expect(answer.status).toEqual(503);
         expect(Number(answer.retryAfter) > 0).toEqual(true);
         expect(counts()).toEqual([1, 1]);
@@ -65,23 +70,27 @@
     );
   });
 
-  it('repeats a look-up whose answer was cut short', async () => {
-    // Guards against a truncated answer that looks complete.
-    const cutShort: TargetScript = (req, res) => {
+  it('retries a safe call whose response was truncated', async () => {
+    // Guards against a truncated response that is forwarded as complete.
+    const sendTruncated: TargetScript = (req, res) => {
       res.writeHead(200, {...buildSignedHead(req), 'content-length': '100'});
       res.write('short');
       setTimeout(() => res.destroy(), 20);
     };
-    await checkWithTargets(cutShort, cutShort, async (world, counts) => {
-      const answer = await world.call('/safe/x');
-      expect(answer.status).toEqual(502);
-      expect(counts()).toEqual([1, 1]);
-    });
+    await checkWithTargets(
+      sendTruncated,
+      sendTruncated,
+      async (harness, counts) => {
+        const answer = await harness.call('/safe/x');
+        expect(answer.status).toEqual(502);
+        expect(counts()).toEqual([1, 1]);
+      },
+    );
   });
 
-  it('takes an answer without a length that is reset for broken', async () => {
-    // Guards against a reset that the HTTP parser takes for the end of an
-    // answer.
+  it('treats a response without a length as truncated if the connection is reset', async () => {
+    // Guards against a reset that the HTTP parser takes for the end of a
+    // response.
     const resetUnframed: TargetScript = req => {
       const {socket} = req;
       socket.write(
@@ -90,37 +99,37 @@
       );
       setTimeout(() => socket.resetAndDestroy(), 30);
     };
-    await checkWithTargets(resetUnframed, resetUnframed, async world => {
-      const answer = await world.call('/unsafe/order', {method: 'POST'});
+    await checkWithTargets(resetUnframed, resetUnframed, async harness => {
+      const answer = await harness.call('/unsafe/order', {method: 'POST'});
       expect(answer.status).toEqual(502);
     });
   });
 
-  it("gives nobody another request's answer", async () => {
-    // Guards against an answer to another request on the same connection.
+  it('does not forward a response with the id of another request', async () => {
+    // Guards against a response to another request on the same connection.
     const answerForeign: TargetScript = (_, res) => {
       res.writeHead(200, {'x-test-id': 'other', 'x-test-signature': 's'});
       res.end('for somebody else');
     };
-    await checkWithTargets(answerForeign, answerForeign, async world => {
-      const answer = await world.call('/unsafe/order', {method: 'POST'});
+    await checkWithTargets(answerForeign, answerForeign, async harness => {
+      const answer = await harness.call('/unsafe/order', {method: 'POST'});
       expect(answer.status).toEqual(502);
       expect(answer.body.includes('somebody else')).toEqual(false);
     });
   });
 
-  it('forwards no unsigned success', async () => {
+  it('does not forward a success response without a signature', async () => {
     const answerUnsigned: TargetScript = (req, res) => {
       res.writeHead(200, {'x-test-id': String(req.headers['x-test-id'])});
       res.end('forged');
     };
-    await checkWithTargets(answerUnsigned, answerUnsigned, async world => {
-      expect((await world.call('/safe/x')).status).toEqual(502);
+    await checkWithTargets(answerUnsigned, answerUnsigned, async harness => {
+      expect((await harness.call('/safe/x')).status).toEqual(502);
     });
   });
 
-  it('asks a second target when the first is slow with a look-up', async () => {
-    // Guards against a hanging target that passes its health check.
+  it('hedges a safe call to a second target if the first one is slow', async () => {
+    // Guards against waiting for a hanging target that passes its health check.
     const hang: TargetScript = () => undefined;
     let isFirst = true;
     const hangOnce: TargetScript = (req, res) => {
@@ -128,17 +137,17 @@
       isFirst = false;
       hang(req, res);
     };
-    await checkWithTargets(hangOnce, hangOnce, async world => {
-      const answer = await world.call('/safe/x');
+    await checkWithTargets(hangOnce, hangOnce, async harness => {
+      const answer = await harness.call('/safe/x');
       expect(answer.status).toEqual(200);
       expect(answer.body).toEqual('whole');
     });
   });
 
-  it("ends an order at its route's timeout, honestly", async () => {
+  it('responds with 504 to an unsafe call without a response at its deadline', async () => {
     const hang: TargetScript = () => undefined;
-    await checkWithTargets(hang, hang, async world => {
-      const answer = await world.call('/unsafe/order', {
+    await checkWithTargets(hang, hang, async harness => {
+      const answer = await harness.call('/unsafe/order', {
         method: 'POST',
         deadlineMs: 300,
       });
@@ -146,40 +155,41 @@
     });
   });
 
-  it('goes to another target when the first takes no connection', async () => {
-    // Guards against failing a call that a dead target never received.
-    const world = await openGateWorld();
+  it('sends a call to another target if the first one accepts no connection', async () => {
+    // Guards against the failure of a call that a dead target never received.
+    const harness = await openGateWorld();
     try {
-      const dead = await world.addTarget('dead', 'orders', answerWhole);
+      const dead = await harness.addTarget('dead', 'orders', answerWhole);
       dead.close();
-      await world.addTarget('alive', 'orders', answerWhole);
-      await world.waitUntil(() => isListed(world, 2));
+      await harness.addTarget('alive', 'orders', answerWhole);
+      await harness.waitUntil(() => isListed(harness, 2));
       for (let i = 0; i < 6; i++) {
-        const answer = await world.call('/unsafe/order', {method: 'POST'});
+        const answer = await harness.call('/unsafe/order', {method: 'POST'});
         expect(answer.status).toEqual(200);
       }
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('forwards the account, and never the key', async () => {
-    const world = await openGateWorld();
+  it('forwards the account and the remaining time to the target, but not the API key', async () => {
+    const harness = await openGateWorld();
     try {
-      const target = await world.addTarget('t', 'orders', answerWhole);
-      await world.waitUntil(() => isListed(world, 1));
-      await world.call('/safe/x');
+      const target = await harness.addTarget('t', 'orders', answerWhole);
+      await harness.waitUntil(() => isListed(harness, 1));
+      await harness.call('/safe/x');
       expect(target.heads[0]['x-test-account']).toEqual('acme');
       expect(target.heads[0]['x-test-key']).toEqual(undefined);
       expect(Number(target.heads[0]['x-test-left']) <= 2000).toEqual(true);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('survives a head that cannot be written', async () => {
-    // Guards against a header value that Node refuses, which ended the gate.
-    const world = await openGateWorld({
+  it('refuses a request with header values that Node.js rejects and keeps serving', async () => {
+    // Guards against a header value that Node.js rejects and that terminates
+    // the gate.
+    const harness = await openGateWorld({
       config: buildConfig(1, {
         accounts: [
           {name: 'acme', keys: ['k1']},
@@ -188,34 +198,38 @@
       }),
     });
     try {
-      const target = await world.addTarget('t', 'orders', answerWhole);
-      const engine = await world.addTarget('e', 'chat', answerWhole);
-      await world.waitUntil(() => isListed(world, 2));
+      const target = await harness.addTarget('t', 'orders', answerWhole);
+      const engine = await harness.addTarget('e', 'chat', answerWhole);
+      await harness.waitUntil(() => isListed(harness, 2));
       for (const path of ['/safe/x', '/unsafe/x', '/stream/x']) {
-        const {status} = await world.call(path, {key: 'k2', tokens: 10});
+        const {status} = await harness.call(path, {key: 'k2', tokens: 10});
         expect(status).toEqual(503);
       }
       expect([...target.received, ...engine.received]).toEqual([]);
-      expect((await world.call('/safe/x')).status).toEqual(200);
+      expect((await harness.call('/safe/x')).status).toEqual(200);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('takes a status that no answer has for a broken one', async () => {
-    // Guards against a status line that Node refuses to forward, which ended
-    // the gate.
-    const garble: TargetScript = req =>
+  it('treats a response with an invalid status as a failed attempt', async () => {
+    // Guards against a status that Node.js parses but refuses to write, which
+    // terminates the gate.
+    const sendInvalidStatus: TargetScript = req =>
       void req.socket.end(
         `HTTP/1.1 099 Odd\r\nx-test-signature: s\r\nx-test-id: ${String(
           req.headers['x-test-id'],
         )}\r\nContent-Length: 2\r\n\r\nok`,
       );
-    await checkWithTargets(garble, garble, async world => {
-      expect((await world.call('/unsafe/x')).status).toEqual(502);
-      expect((await world.call('/safe/x')).status).toEqual(502);
-      world.setScripts(answerWhole);
-      expect((await world.call('/safe/x')).status).toEqual(200);
-    });
+    await checkWithTargets(
+      sendInvalidStatus,
+      sendInvalidStatus,
+      async harness => {
+        expect((await harness.call('/unsafe/x')).status).toEqual(502);
+        expect((await harness.call('/safe/x')).status).toEqual(502);
+        harness.setScripts(answerWhole);
+        expect((await harness.call('/safe/x')).status).toEqual(200);
+      },
+    );
   });
 });
--- a/packages/direct/src/forward/call-forwarder.ts
+++ b/packages/direct/src/forward/call-forwarder.ts
@@ -16,7 +16,7 @@
 /** Share of the latency objective after which a safe call is hedged. */
 const HEDGE_DELAY_SHARE = 0.5;
 
-/** Maximum number of attempts that fail before a connection is open. */
+/** Maximum number of attempts that fail before the request is sent. */
 const MAX_UNSENT_ATTEMPTS = 4;
 
 /** A target's complete response. */
--- a/packages/direct/src/forward/event-splitter.test.ts
+++ b/packages/direct/src/forward/event-splitter.test.ts
@@ -4,8 +4,8 @@
 import {createEventSplitter} from './event-splitter.js';
 
 describe('event splitter', () => {
-  it('gives the same events however the bytes are cut', () => {
-    // Guards against packets that split a character or a boundary.
+  it('returns the same events however the bytes are divided into chunks', () => {
+    // Guards against chunks that split a character or an event boundary.
     const pieces = fc.array(
       fc.string({unit: 'grapheme'}).map(text => text.replace(/[\r\n]/g, '')),
       {minLength: 1, maxLength: 8},
@@ -36,7 +36,7 @@
     );
   });
 
-  it('holds back an event that has not ended', () => {
+  it('buffers an incomplete event', () => {
     const splitter = createEventSplitter();
     expect(splitter.push(Buffer.from('id: 1\ndata: x\n')).length).toEqual(0);
     expect(splitter.hasPartialEvent).toEqual(true);
--- a/packages/direct/src/forward/kv-lease.test.ts
+++ b/packages/direct/src/forward/kv-lease.test.ts
@@ -14,8 +14,11 @@
 import type {TargetScript} from '../test/fake-target.js';
 import type {LivenessCheck} from './kv-lease.js';
 
-/** Grants reservations at once, and renewals when the test says so. */
-class SlowRenewals extends KvReservations {
+/**
+ * Grants the first reservation at once, and renewals when the test resolves
+ * them.
+ */
+class PendingRenewals extends KvReservations {
   readonly orders: string[] = [];
   readonly waiting: Array<() => void> = [];
 
@@ -31,28 +34,28 @@
   }
 }
 
-/** An engine that sends bytes all the time. */
-const HEARD: LivenessCheck = {
+/** Engine that is sending bytes continuously. */
+const ACTIVE_ENGINE: LivenessCheck = {
   isActive: () => true,
   ask: () => Promise.resolve(true),
 };
 
-/** An engine that sends nothing, and answers polls when the test says so. */
-class SilentEngine implements LivenessCheck {
+/** Engine that sends no bytes and replies to polls if `isAnswering` is set. */
+class UnresponsiveEngine implements LivenessCheck {
   isAnswering = true;
-  asked = 0;
+  pollCount = 0;
 
   isActive(): boolean {
     return false;
   }
 
   ask(): Promise<boolean> {
-    this.asked++;
+    this.pollCount++;
     return Promise.resolve(this.isAnswering);
   }
 }
 
-/** Advances by one renewal period. */
+/** Advances the mocked timers by one renewal interval. */
 async function advancePeriod(): Promise<void> {
   mock.timers.tick(1200);
   await new Promise(resolve => setImmediate(resolve));
@@ -60,7 +63,7 @@
 
 async function openLease(
   reservations: KvReservations,
-  liveness: LivenessCheck = HEARD,
+  liveness: LivenessCheck = ACTIVE_ENGINE,
 ) {
   const target = buildTarget('e1', 1);
   const lease = await openKvLease(
@@ -74,11 +77,11 @@
 }
 
 describe('KV cache lease', () => {
-  it('is given back behind a renewal that was under way', async () => {
-    // Guards against a renewal that arrives after the release.
+  it('is released again after a renewal that was pending when the lease was closed', async () => {
+    // Guards against a reservation that is renewed after its release.
     mock.timers.enable({apis: ['setInterval']});
     try {
-      const reservations = new SlowRenewals();
+      const reservations = new PendingRenewals();
       const lease = await openLease(reservations);
       mock.timers.tick(1200);
       lease.close();
@@ -91,20 +94,20 @@
     }
   });
 
-  it('is given back once when no renewal is under way', async () => {
-    const reservations = new SlowRenewals();
+  it('is released once if no renewal is pending', async () => {
+    const reservations = new PendingRenewals();
     const lease = await openLease(reservations);
     lease.close();
     await new Promise(resolve => setImmediate(resolve));
     expect(reservations.orders).toEqual(['reserve', 'release']);
   });
 
-  it('is renewed while the engine answers, although no event came', async () => {
+  it('is renewed while the engine replies to polls, even if one poll gets no reply', async () => {
     // Guards against a lease that expires while a long prompt is prefilled.
     mock.timers.enable({apis: ['setInterval']});
     try {
       const reservations = new FakeReservations();
-      const liveness = new SilentEngine();
+      const liveness = new UnresponsiveEngine();
       const lease = await openLease(reservations, liveness);
       await advancePeriod();
       liveness.isAnswering = false;
@@ -112,8 +115,7 @@
       liveness.isAnswering = true;
       await advancePeriod();
       await advancePeriod();
-      // The first reservation, and a renewal for each answer: one poll may be
-      // missed.
+      // One reservation and three renewals: one of four polls gets no reply.
       expect(reservations.reservedAt.length).toEqual(4);
       lease.close();
     } finally {
@@ -121,12 +123,12 @@
     }
   });
 
-  it('is renewed no more when the engine comes back after two silent checks', async () => {
+  it('is not renewed after two consecutive polls without a reply, even if the engine recovers', async () => {
     // Guards against renewals for an engine that restarted and lost the prompt.
     mock.timers.enable({apis: ['setInterval']});
     try {
       const reservations = new FakeReservations();
-      const liveness = new SilentEngine();
+      const liveness = new UnresponsiveEngine();
       const lease = await openLease(reservations, liveness);
       liveness.isAnswering = false;
       await advancePeriod();
@@ -134,19 +136,19 @@
       liveness.isAnswering = true;
       await advancePeriod();
       expect(reservations.reservedAt.length).toEqual(1);
-      expect(liveness.asked).toEqual(2);
+      expect(liveness.pollCount).toEqual(2);
       lease.close();
     } finally {
       mock.timers.reset();
     }
   });
 
-  it('is not renewed when it was closed while the engine was asked', async () => {
+  it('is not renewed if it is closed while the engine is being polled', async () => {
     // Guards against a renewal for a stream that ended during the poll.
     mock.timers.enable({apis: ['setInterval']});
     try {
       const reservations = new FakeReservations();
-      const lease = await openLease(reservations, new SilentEngine());
+      const lease = await openLease(reservations, new UnresponsiveEngine());
       mock.timers.tick(1200);
       lease.close();
       await new Promise(resolve => setImmediate(resolve));
@@ -157,28 +159,28 @@
     }
   });
 
-  it('expires soon after the engine went silent', async () => {
+  it('expires within four seconds after the engine has stopped responding', async () => {
     // Guards against KV cache that stays reserved after the engine has lost
-    // power.
-    const goSilent: TargetScript = () => undefined;
+    // power, which resets no connection.
+    const hang: TargetScript = () => undefined;
     const base = buildConfig(1);
     const routes = base.routes.map(route => ({...route, timeoutMs: 30_000}));
-    const world = await openGateWorld({config: {...base, routes}});
+    const harness = await openGateWorld({config: {...base, routes}});
     try {
       for (const name of ['e0', 'e1', 'e2'])
-        await world.addTarget(name, 'chat', goSilent);
-      await world.waitUntil(
+        await harness.addTarget(name, 'chat', hang);
+      await harness.waitUntil(
         () =>
-          world.lines.filter(line => line.includes('"target_added"')).length ===
-          3,
+          harness.lines.filter(line => line.includes('"target_added"'))
+            .length === 3,
       );
-      const call = world.call('/stream/x', {
+      const call = harness.call('/stream/x', {
         tokens: 330_000,
         deadlineMs: 30_000,
         leaveAfterMs: 3000,
       });
-      const {reservedAt} = world.reservations;
-      await world.waitUntil(() => reservedAt.length > 0);
+      const {reservedAt} = harness.reservations;
+      await harness.waitUntil(() => reservedAt.length > 0);
       const [sentAt = 0] = reservedAt;
       await sleep(2600);
       const lastAt = Math.max(...reservedAt);
@@ -186,50 +188,52 @@
       expect(lastAt - sentAt + leaseMs < 4000).toEqual(true);
       await call.catch(() => undefined);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('is released when another engine has its address', async () => {
-    // Guards against an engine that is back at its address before its death is
-    // noticed.
-    let isReadNow = false;
+  it('is released when a new engine takes over the address of the decoding engine', async () => {
+    // Guards against a stream that waits for an engine that has been replaced
+    // at its address before its failure is detected.
+    let isResponding = false;
     const script: TargetScript = (req, res) => {
-      if (!isReadNow) return;
+      if (!isResponding) return;
       res.writeHead(200, buildSignedHead(req));
       res.end(formatEvents(1, 6));
     };
     const base = buildConfig(1);
     const routes = base.routes.map(route => ({...route, timeoutMs: 30_000}));
-    const world = await openGateWorld({config: {...base, routes}});
+    const harness = await openGateWorld({config: {...base, routes}});
     try {
       const engines = await Promise.all(
-        ['e0', 'e1', 'e2', 'e3'].map(id => world.addTarget(id, 'chat', script)),
+        ['e0', 'e1', 'e2', 'e3'].map(id =>
+          harness.addTarget(id, 'chat', script),
+        ),
       );
-      for (const {id} of engines) world.reports.slowdowns.set(id, 1);
-      await world.waitUntil(
-        async () => (await world.readGauge('targets_known')) === 4,
+      for (const {id} of engines) harness.reports.slowdowns.set(id, 1);
+      await harness.waitUntil(
+        async () => (await harness.readGauge('targets_known')) === 4,
       );
-      const call = world.call('/stream/x', {
+      const call = harness.call('/stream/x', {
         tokens: 330_000,
         deadlineMs: 30_000,
       });
-      await world.waitUntil(() =>
+      await harness.waitUntil(() =>
         engines.some(({received}) => received.length > 0),
       );
-      isReadNow = true;
+      isResponding = true;
       const decoder = engines.find(({received}) => received.length > 0);
       const entry = decoder?.entry ?? engines[0].entry;
-      world.store.publishTarget({...entry, id: 'reborn', name: 'reborn'});
+      harness.store.publishTarget({...entry, id: 'reborn', name: 'reborn'});
       const answer = await call;
       expect(answer.body).toEqual(formatEvents(1, 6));
-      // Not by a stall, which shows seconds later.
+      // Stall detection would take seconds longer.
       expect(
-        world.lines.some(line => line.includes('"engine_silent"')),
+        harness.lines.some(line => line.includes('"engine_silent"')),
       ).toEqual(false);
-      await world.waitUntil(() => world.reservations.held.size === 0);
+      await harness.waitUntil(() => harness.reservations.held.size === 0);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 });
--- a/packages/direct/src/forward/kv-lease.ts
+++ b/packages/direct/src/forward/kv-lease.ts
@@ -47,7 +47,7 @@
  */
 export class KvLease {
   private readonly timer: NodeJS.Timeout;
-  /** Renewals without a reply yet. */
+  /** Renewals that have not completed. */
   private readonly renewals = new Set<Promise<LeasedReservation>>();
   private isClosed = false;
   private missedPolls = 0;
--- a/packages/direct/src/forward/late-errors.test.ts
+++ b/packages/direct/src/forward/late-errors.test.ts
@@ -10,29 +10,29 @@
 import type {Socket} from 'node:net';
 import type {GateWorld} from '../test/gate-world.js';
 
-/** When the target's connection is reset, as the target sees it. */
-const TARGET_MOMENTS = [
+/** Points at which the target resets its connection. */
+const TARGET_RESET_POINTS = [
   'never',
   'accepted',
   'request read',
-  'amid the head',
-  'behind the head',
-  'amid the body',
-  'behind the answer',
-  'bytes behind the answer',
+  'during the head',
+  'after the head',
+  'during the body',
+  'after the response',
+  'bytes after the response',
 ] as const;
 
-/** When the caller's connection is reset, as the caller sees it. */
-const CALLER_MOMENTS = [
+/** Points at which the caller resets its connection. */
+const CALLER_RESET_POINTS = [
   'never',
   'connected',
-  'amid the body',
+  'during the body',
   'request sent',
-  'first bytes',
-  'behind the answer',
+  'after the first bytes',
+  'after the response',
 ] as const;
 
-const ERRORS = [
+const SOCKET_ERRORS = [
   () =>
     Object.assign(new Error('read ECONNRESET'), {
       code: 'ECONNRESET',
@@ -43,40 +43,40 @@
   () => new Error('plain'),
 ];
 
-/** An error raised on a socket of the gate. */
-interface Raised {
+/** Error to emit on the gate's sockets. */
+interface InjectedError {
   readonly side: 'caller' | 'target';
   readonly error: number;
   readonly afterMs: number;
 }
 
-/** What happens to one request. */
-interface Plan {
+/** Faults to inject into one request. */
+interface RequestPlan {
   readonly path: string;
-  readonly caller: (typeof CALLER_MOMENTS)[number];
-  readonly target: (typeof TARGET_MOMENTS)[number];
-  /** Delay of the target's answer, in ms. */
-  readonly lateMs: number;
-  readonly raised: readonly Raised[];
+  readonly caller: (typeof CALLER_RESET_POINTS)[number];
+  readonly target: (typeof TARGET_RESET_POINTS)[number];
+  /** Delay of the target's response, in ms. */
+  readonly responseDelayMs: number;
+  readonly injected: readonly InjectedError[];
 }
 
-const PLAN: fc.Arbitrary<Plan> = fc.record({
+const REQUEST_PLAN: fc.Arbitrary<RequestPlan> = fc.record({
   path: fc.constantFrom('/safe/x', '/unsafe2/x', '/stream/x'),
-  caller: fc.constantFrom(...CALLER_MOMENTS),
-  target: fc.constantFrom(...TARGET_MOMENTS),
-  lateMs: fc.integer({min: 0, max: 30}),
-  raised: fc.array(
+  caller: fc.constantFrom(...CALLER_RESET_POINTS),
+  target: fc.constantFrom(...TARGET_RESET_POINTS),
+  responseDelayMs: fc.integer({min: 0, max: 30}),
+  injected: fc.array(
     fc.record({
       side: fc.constantFrom('caller' as const, 'target' as const),
-      error: fc.nat({max: ERRORS.length - 1}),
+      error: fc.nat({max: SOCKET_ERRORS.length - 1}),
       afterMs: fc.integer({min: 0, max: 30}),
     }),
     {maxLength: 2},
   ),
 });
 
-/** A complete answer, split into head and body. */
-function renderAnswer(req: IncomingMessage): readonly [string, string] {
+/** Renders a complete response, split into head and body. */
+function renderResponse(req: IncomingMessage): readonly [string, string] {
   const body = formatEvents(1, 3);
   const fields = Object.entries({
     ...buildSignedHead(req),
@@ -87,27 +87,30 @@
   return [`HTTP/1.1 200 OK\r\n${lines.join('')}\r\n`, body];
 }
 
-/** Plays the target's part of a plan. */
-async function runTarget(plan: Plan, req: IncomingMessage): Promise<void> {
+/** Sends a response as the target and resets the connection as planned. */
+async function runTarget(
+  plan: RequestPlan,
+  req: IncomingMessage,
+): Promise<void> {
   const {socket} = req;
-  const [head, body] = renderAnswer(req);
-  await waitMs(plan.lateMs);
-  const parts: ReadonlyArray<readonly [string, Plan['target']]> = [
+  const [head, body] = renderResponse(req);
+  await waitMs(plan.responseDelayMs);
+  const parts: ReadonlyArray<readonly [string, RequestPlan['target']]> = [
     ['', 'request read'],
-    [head.slice(0, 30), 'amid the head'],
-    [head.slice(30), 'behind the head'],
-    [body.slice(0, 20), 'amid the body'],
-    [body.slice(20), 'behind the answer'],
+    [head.slice(0, 30), 'during the head'],
+    [head.slice(30), 'after the head'],
+    [body.slice(0, 20), 'during the body'],
+    [body.slice(20), 'after the response'],
   ];
-  for (const [bytes, moment] of parts) {
+  for (const [bytes, point] of parts) {
     if (bytes !== '') socket.write(bytes);
-    if (moment !== plan.target) continue;
-    // Twice: bytes in flight, then the reset.
+    if (point !== plan.target) continue;
+    // Waits, so that the bytes are sent before the reset.
     await waitMs(1);
     socket.resetAndDestroy();
     return;
   }
-  if (plan.target === 'bytes behind the answer') {
+  if (plan.target === 'bytes after the response') {
     socket.write('HTTP/1.1 garbage');
     await waitMs(1);
     socket.resetAndDestroy();
@@ -117,14 +120,19 @@
 }
 
 /**
- * Plays the caller's part of a plan; resolves when its connection is closed.
+ * Sends a request as the caller and resets the connection as planned; resolves
+ * when the connection is closed.
  */
-function runCaller(world: GateWorld, id: string, plan: Plan): Promise<void> {
+function runCaller(
+  harness: GateWorld,
+  id: string,
+  plan: RequestPlan,
+): Promise<void> {
   return new Promise(resolve => {
-    const socket = connect(world.port, world.host);
-    const reset = (moment: Plan['caller']) => {
-      if (moment === plan.caller) socket.resetAndDestroy();
-      return moment === plan.caller;
+    const socket = connect(harness.port, harness.host);
+    const reset = (point: RequestPlan['caller']) => {
+      if (point === plan.caller) socket.resetAndDestroy();
+      return point === plan.caller;
     };
     socket.on('error', () => undefined);
     socket.on('close', () => resolve());
@@ -136,22 +144,22 @@
           'Content-Length: 10\r\nConnection: close\r\n\r\nhello',
       );
       setTimeout(() => {
-        if (socket.destroyed || reset('amid the body')) return;
+        if (socket.destroyed || reset('during the body')) return;
         socket.write('world');
         setTimeout(() => reset('request sent'), 2);
       }, 2);
     });
-    socket.on('data', () => reset('first bytes'));
-    socket.on('end', () => reset('behind the answer'));
+    socket.on('data', () => reset('after the first bytes'));
+    socket.on('end', () => reset('after the response'));
   });
 }
 
-/** A gate whose sockets are known, with targets that play plans. */
-class ErrorWorld {
+/** Injects errors into the connections of a gate. */
+class ErrorInjector {
   readonly uncaught: unknown[] = [];
-  /** Errors raised on the gate's sockets, by side. */
-  readonly raisedOn = {caller: 0, target: 0};
-  readonly plans = new Map<string, Plan>();
+  /** Number of errors emitted on the gate's sockets, by side. */
+  readonly injectedOn = {caller: 0, target: 0};
+  readonly plans = new Map<string, RequestPlan>();
   private readonly gateSockets = {
     caller: new Set<Socket>(),
     target: new Set<Socket>(),
@@ -159,17 +167,17 @@
   private readonly received: string[] = [];
   private targetPorts = new Set<number>();
   private lastId = 0;
-  private readonly recordError = (error: unknown) => {
+  private readonly recordUncaught = (error: unknown) => {
     this.uncaught.push(error);
   };
-  private readonly takeAccepted = (message: unknown) => {
+  private readonly handleAcceptedSocket = (message: unknown) => {
     const {socket} = message as {readonly socket: Socket};
-    if (socket.localPort === this.world.port)
+    if (socket.localPort === this.harness.port)
       this.recordSocket(this.gateSockets.caller, socket);
     if (this.targetPorts.has(socket.localPort ?? 0) && this.claimReset())
       socket.resetAndDestroy();
   };
-  private readonly takeOpened = (message: unknown) => {
+  private readonly handleOpenedSocket = (message: unknown) => {
     const {socket} = message as {readonly socket: Socket};
     socket.once('connectionAttempt', (_ip, port) => {
       if (this.targetPorts.has(Number(port)))
@@ -178,7 +186,7 @@
   };
   private resetsLeft = 0;
 
-  constructor(readonly world: GateWorld) {}
+  constructor(readonly harness: GateWorld) {}
 
   async start(): Promise<void> {
     const script = (req: IncomingMessage, res: ServerResponse) => {
@@ -190,47 +198,49 @@
       res.end(formatEvents(1, 1));
     };
     const targets = [
-      await this.world.addTarget('a', 'orders', script),
-      await this.world.addTarget('b', 'orders', script),
-      await this.world.addTarget('e', 'chat', script),
-      await this.world.addTarget('f', 'chat', script),
+      await this.harness.addTarget('a', 'orders', script),
+      await this.harness.addTarget('b', 'orders', script),
+      await this.harness.addTarget('e', 'chat', script),
+      await this.harness.addTarget('f', 'chat', script),
     ];
     this.targetPorts = new Set(targets.map(target => target.entry.port));
-    await this.world.waitUntil(async () => {
-      const known = await this.world.readGauge('targets_known');
+    await this.harness.waitUntil(async () => {
+      const known = await this.harness.readGauge('targets_known');
       return known === targets.length;
     });
-    subscribe('net.server.socket', this.takeAccepted);
-    subscribe('net.client.socket', this.takeOpened);
-    process.on('uncaughtException', this.recordError);
-    process.on('unhandledRejection', this.recordError);
+    subscribe('net.server.socket', this.handleAcceptedSocket);
+    subscribe('net.client.socket', this.handleOpenedSocket);
+    process.on('uncaughtException', this.recordUncaught);
+    process.on('unhandledRejection', this.recordUncaught);
   }
 
   stop(): void {
-    unsubscribe('net.server.socket', this.takeAccepted);
-    unsubscribe('net.client.socket', this.takeOpened);
-    process.off('uncaughtException', this.recordError);
-    process.off('unhandledRejection', this.recordError);
-    this.world.close();
+    unsubscribe('net.server.socket', this.handleAcceptedSocket);
+    unsubscribe('net.client.socket', this.handleOpenedSocket);
+    process.off('uncaughtException', this.recordUncaught);
+    process.off('unhandledRejection', this.recordUncaught);
+    this.harness.close();
   }
 
-  /** Plays plans concurrently, and raises errors on the gate's sockets. */
-  async run(plans: readonly Plan[]): Promise<void> {
+  /** Runs plans concurrently and emits errors on the gate's sockets. */
+  async run(plans: readonly RequestPlan[]): Promise<void> {
     this.resetsLeft = plans.filter(plan => plan.target === 'accepted').length;
     await Promise.all(
       plans.map(async plan => {
         const id = `p${++this.lastId}`;
         this.plans.set(id, plan);
-        const raising = plan.raised.map(raised => this.runRaised(raised));
-        await runCaller(this.world, id, plan);
-        await Promise.all(raising);
+        const injecting = plan.injected.map(injected =>
+          this.runInjectedError(injected),
+        );
+        await runCaller(this.harness, id, plan);
+        await Promise.all(injecting);
       }),
     );
     this.resetsLeft = 0;
   }
 
-  /** Most times that a request reached a target. */
-  countMostRuns(path: string): number {
+  /** Returns the highest number of times that a request reached a target. */
+  countMaxRuns(path: string): number {
     const runs = new Map<string, number>();
     for (const id of this.received)
       if (this.plans.get(id)?.path === path)
@@ -238,12 +248,16 @@
     return Math.max(0, ...runs.values());
   }
 
-  private async runRaised({side, error, afterMs}: Raised): Promise<void> {
+  private async runInjectedError({
+    side,
+    error,
+    afterMs,
+  }: InjectedError): Promise<void> {
     await waitMs(afterMs);
-    // Closed sockets are included: errors come late.
+    // Sockets that closed recently are included, as errors may occur late.
     for (const socket of this.gateSockets[side]) {
-      this.raisedOn[side]++;
-      socket.emit('error', ERRORS[error]());
+      this.injectedOn[side]++;
+      socket.emit('error', SOCKET_ERRORS[error]());
     }
   }
 
@@ -255,51 +269,51 @@
 
   private recordSocket(sockets: Set<Socket>, socket: Socket): void {
     sockets.add(socket);
-    // Kept for a while, so that late errors still reach it.
+    // Keeps the socket for 20 ms, so that late errors still reach it.
     socket.once('close', () =>
       setTimeout(() => sockets.delete(socket), 20).unref(),
     );
   }
 }
 
-describe('errors of connections, whenever they come', () => {
-  let errors: ErrorWorld;
+describe('gate with connection errors at arbitrary times', () => {
+  let injector: ErrorInjector;
   before(async () => {
-    errors = new ErrorWorld(await openGateWorld());
-    await errors.start();
+    injector = new ErrorInjector(await openGateWorld());
+    await injector.start();
   });
-  after(() => errors.stop());
+  after(() => injector.stop());
 
-  it('end no gate and leave nothing counted', async () => {
-    // Guards against errors on closed sockets that end the gate.
-    const {world} = errors;
+  it('raises no uncaught error, leaves no request in flight and keeps serving', async () => {
+    // Guards against errors on closed sockets that terminate the gate.
+    const {harness} = injector;
     await fc.assert(
       fc.asyncProperty(
-        fc.array(PLAN, {minLength: 1, maxLength: 6}),
+        fc.array(REQUEST_PLAN, {minLength: 1, maxLength: 6}),
         async plans => {
-          errors.uncaught.length = 0;
-          await errors.run(plans);
-          expect(errors.uncaught).toEqual([]);
+          injector.uncaught.length = 0;
+          await injector.run(plans);
+          expect(injector.uncaught).toEqual([]);
           for (const gauge of ['requests', 'calls', 'streams'])
-            await world.waitUntil(
-              async () => (await world.readGauge(`${gauge}_in_flight`)) === 0,
+            await harness.waitUntil(
+              async () => (await harness.readGauge(`${gauge}_in_flight`)) === 0,
             );
           for (const path of ['/safe/x', '/unsafe2/x', '/stream/x']) {
-            const next = await world.call(path, {id: 'next', tokens: 10});
+            const next = await harness.call(path, {id: 'next', tokens: 10});
             expect([path, next.status, next.isWhole]).toEqual([
               path,
               200,
               true,
             ]);
           }
-          expect(errors.uncaught).toEqual([]);
-          expect(errors.countMostRuns('/unsafe2/x') <= 1).toEqual(true);
+          expect(injector.uncaught).toEqual([]);
+          expect(injector.countMaxRuns('/unsafe2/x') <= 1).toEqual(true);
         },
       ),
       {numRuns: 60, seed: 20261203},
     );
     expect(
-      Math.min(errors.raisedOn.caller, errors.raisedOn.target) > 0,
+      Math.min(injector.injectedOn.caller, injector.injectedOn.target) > 0,
     ).toEqual(true);
   });
 });
--- a/packages/direct/src/forward/open-exchanges.test.ts
+++ b/packages/direct/src/forward/open-exchanges.test.ts
@@ -5,8 +5,8 @@
 import {OpenExchanges} from './open-exchanges.js';
 import type {Target} from '../types.js';
 
-/** Opens an exchange without an answer; returns how it ends. */
-async function openSilent(exchanges: OpenExchanges, revision: number) {
+/** Opens an exchange with a target that never responds. */
+async function openUnanswered(exchanges: OpenExchanges, revision: number) {
   let arrive = () => undefined as void;
   const arrived = new Promise<void>(resolve => (arrive = resolve));
   const server = await openFakeTarget('e1', 'chat', () => arrive());
@@ -30,12 +30,15 @@
   return {target, server, exchange, ended, readFault};
 }
 
-describe('exchanges under way', () => {
-  it('end when another server has the address of theirs', async () => {
-    // Guards against waiting for a server that lost power after another one
-    // took its address.
+describe('open exchanges', () => {
+  it('fail with a reset when a new server takes over the address of their target', async () => {
+    // Guards against waiting for a server that lost power and was replaced at
+    // its address.
     const exchanges = new OpenExchanges();
-    const {target, server, ended, readFault} = await openSilent(exchanges, 5);
+    const {target, server, ended, readFault} = await openUnanswered(
+      exchanges,
+      5,
+    );
     exchanges.endReplaced({
       ...target,
       id: 'e9',
@@ -47,9 +50,9 @@
     server.close();
   });
 
-  it('go on when an older entry or another address is heard of', async () => {
+  it('continue after an update of an older entry, another address or the same target', async () => {
     const exchanges = new OpenExchanges();
-    const {target, server, exchange, readFault} = await openSilent(
+    const {target, server, exchange, readFault} = await openUnanswered(
       exchanges,
       5,
     );
--- a/packages/direct/src/forward/stream-attempt.ts
+++ b/packages/direct/src/forward/stream-attempt.ts
@@ -164,7 +164,7 @@
   private sendToDecoder(lease?: KvLease): Exchange {
     const {context, request, placed, progress} = this.options;
     const tokens = request.facts.promptTokens ?? 0;
-    const priority = PRIORITY_BY_TOKENS.find(([limit]) => tokens <= limit)?.[1];
+    const priority = PRIORITY_BY_TOKENS.find(([most]) => tokens <= most)?.[1];
     return context.exchanges.open({
       target: placed.target,
       method: request.method,
--- a/packages/direct/src/forward/stream-forwarder.test.ts
+++ b/packages/direct/src/forward/stream-forwarder.test.ts
@@ -10,8 +10,8 @@
 import type {TargetScript} from '../test/fake-target.js';
 import type {GateWorld} from '../test/gate-world.js';
 
-/** Streams events up to `last`, after the one that the caller has. */
-const streamWhole: TargetScript = (req, res) => {
+/** Streams all events after the last one that the caller received. */
+const streamComplete: TargetScript = (req, res) => {
   const after = Number(req.headers['x-test-after'] ?? 0);
   res.writeHead(200, {
     ...buildSignedHead(req),
@@ -37,28 +37,28 @@
     timeoutMs,
     isResumable: route.kind === 'stream' && isResumable,
   }));
-  const world = await openGateWorld({
+  const harness = await openGateWorld({
     config: {...base, routes, services},
     retryBounds,
   });
   for (const [i, script] of scripts.entries())
-    await world.addTarget(`e${i}`, 'chat', script);
-  await world.waitUntil(
+    await harness.addTarget(`e${i}`, 'chat', script);
+  await harness.waitUntil(
     () =>
-      world.lines.filter(line => line.includes('"target_added"')).length ===
+      harness.lines.filter(line => line.includes('"target_added"')).length ===
       scripts.length,
   );
-  return world;
+  return harness;
 }
 
-/** Pauses in mid-stream for longer than a stall. */
+/** Pauses after two events for longer than the stall timeout. */
 const streamWithPause: TargetScript = (req, res) => {
   res.writeHead(200, buildSignedHead(req));
   res.write(formatEvents(1, 2));
   setTimeout(() => res.end(formatEvents(3, 6)), 1800);
 };
 
-/** Matches the log line of a request's placement. */
+/** Returns a predicate for log lines of the placement of a request. */
 function isPlaced(requestId: string): (line: string) => boolean {
   return line =>
     line.includes('"stream_placed"') && line.includes(`"${requestId}"`);
@@ -69,44 +69,48 @@
   return lines.filter(line => line.includes('"stream_placed"')).length;
 }
 
-describe('forwarded streams', () => {
-  it('goes on at another engine after the last whole event', async () => {
-    // Guards against lost or repeated events when an engine dies in mid-event.
+describe('stream forwarder', () => {
+  it('resumes a stream at another engine after the last complete event', async () => {
+    // Guards against lost or repeated events when an engine fails during an
+    // event.
     let isFirst = true;
-    const dieOnce: TargetScript = (req, res) => {
-      if (!isFirst) return streamWhole(req, res);
+    const dropOnce: TargetScript = (req, res) => {
+      if (!isFirst) return streamComplete(req, res);
       isFirst = false;
       res.writeHead(200, buildSignedHead(req));
       res.write(formatEvents(1, 3) + 'id: 4\ndata: pie');
       setTimeout(() => res.destroy(), 30);
     };
-    const world = await openStreams([dieOnce, dieOnce]);
+    const harness = await openStreams([dropOnce, dropOnce]);
     try {
-      const answer = await world.call('/stream/x', {tokens: 1000});
+      const answer = await harness.call('/stream/x', {tokens: 1000});
       expect(answer.isWhole).toEqual(true);
       expect(answer.body).toEqual(formatEvents(1, 6));
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('never makes a broken stream look whole', async () => {
-    // Guards against a cut stream that looks complete.
-    const breakOff: TargetScript = (req, res) => {
+  it('does not end a stream as complete if all attempts are truncated', async () => {
+    // Guards against a truncated stream that looks complete to the caller.
+    const dropAfterFirstEvent: TargetScript = (req, res) => {
       res.writeHead(200, buildSignedHead(req));
       res.write(formatEvents(1, 1));
       setTimeout(() => res.destroy(), 20);
     };
-    const world = await openStreams([breakOff, breakOff]);
+    const harness = await openStreams([
+      dropAfterFirstEvent,
+      dropAfterFirstEvent,
+    ]);
     try {
-      const answer = await world.call('/stream/x', {tokens: 1000});
+      const answer = await harness.call('/stream/x', {tokens: 1000});
       expect(answer.isWhole).toEqual(false);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('never makes a stream without a length whole when it is reset', async () => {
+  it('does not end a stream without a length as complete if its connection is reset', async () => {
     // Guards against a reset that the HTTP parser takes for the end of a
     // stream.
     const resetUnframed: TargetScript = req => {
@@ -118,73 +122,75 @@
       );
       setTimeout(() => socket.resetAndDestroy(), 30);
     };
-    const world = await openStreams([resetUnframed, resetUnframed]);
+    const harness = await openStreams([resetUnframed, resetUnframed]);
     try {
-      const answer = await world.call('/stream/x', {tokens: 1000});
+      const answer = await harness.call('/stream/x', {tokens: 1000});
       expect(answer.isWhole).toEqual(false);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('says "not run" of nothing that has run, also when memory is short', async () => {
-    // Guards against 503 for a stream that may have run.
+  it('responds with 502 to a stream that may have run, even if KV cache runs out', async () => {
+    // Guards against a 503 for a stream that may have run, which callers would
+    // retry.
     const hang: TargetScript = () => undefined;
-    const world = await openStreams([hang, hang], true, 30_000);
+    const harness = await openStreams([hang, hang], true, 30_000);
     try {
-      void world.call('/stream/x', {
+      void harness.call('/stream/x', {
         id: 'large',
         tokens: 290_000,
         deadlineMs: 30_000,
       });
-      await world.waitUntil(() => world.lines.some(isPlaced('large')));
-      world.setScripts((_, res) => res.destroy());
-      const answer = await world.call('/stream/x', {
+      await harness.waitUntil(() => harness.lines.some(isPlaced('large')));
+      harness.setScripts((_, res) => res.destroy());
+      const answer = await harness.call('/stream/x', {
         id: 'q2',
         tokens: 200_000,
         deadlineMs: 30_000,
       });
-      expect(world.lines.some(isPlaced('q2'))).toEqual(true);
+      expect(harness.lines.some(isPlaced('q2'))).toEqual(true);
       expect(answer.status).toEqual(502);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('runs a stream that cannot be resumed once only', async () => {
-    const world = await openStreams([req => req.socket.destroy()], false);
+  it('runs a stream that cannot be resumed only once', async () => {
+    const harness = await openStreams([req => req.socket.destroy()], false);
     try {
-      const answer = await world.call('/stream/x', {tokens: 1000});
+      const answer = await harness.call('/stream/x', {tokens: 1000});
       expect(answer.status).toEqual(502);
-      const attempts = world.lines.filter(line =>
+      const attempts = harness.lines.filter(line =>
         line.includes('"stream_placed"'),
       );
       expect(attempts.length).toEqual(1);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('waits for a stalled stream that cannot be resumed', async () => {
-    // Guards against giving up a stalled stream that cannot be resumed.
+  it('keeps waiting for a stalled stream that cannot be resumed', async () => {
+    // Guards against cancelling a stalled stream that no other engine may
+    // resume.
     const pause: TargetScript = (req, res) => {
       res.writeHead(200, buildSignedHead(req));
       res.write(formatEvents(1, 2));
       setTimeout(() => res.end(formatEvents(3, 3)), 1300);
     };
-    const world = await openStreams([pause, pause], false);
+    const harness = await openStreams([pause, pause], false);
     try {
-      const answer = await world.call('/stream/x', {tokens: 1000});
+      const answer = await harness.call('/stream/x', {tokens: 1000});
       expect(answer.isWhole).toEqual(true);
       expect(answer.body).toEqual(formatEvents(1, 3));
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('keeps a stream on its engine while all others are full', async () => {
-    // Guards against cancelling a stalled stream that no other engine has room
-    // for.
+  it('keeps a stalled stream on its engine while no other engine has a free slot', async () => {
+    // Guards against cancelling a stalled stream that no other engine can
+    // accept.
     let arrivals = 0;
     const script: TargetScript = (req, res) => {
       arrivals++;
@@ -198,26 +204,26 @@
         res.end(formatEvents(3, 3));
       }, 1800);
     };
-    const world = await openStreams([script, script], true, 5000, 1);
+    const harness = await openStreams([script, script], true, 5000, 1);
     try {
-      const paused = world.call('/stream/x', {tokens: 1000});
-      await world.waitUntil(() => arrivals === 1);
-      const busy = world.call('/stream/x', {tokens: 1000});
+      const paused = harness.call('/stream/x', {tokens: 1000});
+      await harness.waitUntil(() => arrivals === 1);
+      const busy = harness.call('/stream/x', {tokens: 1000});
       for (const answer of await Promise.all([paused, busy])) {
         expect(answer.isWhole).toEqual(true);
         expect(answer.body.endsWith(formatEvents(3, 3))).toEqual(true);
       }
       expect(arrivals).toEqual(2);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('waits for a stalled stream while no retry is allowed', async () => {
+  it('keeps waiting for a stalled stream if the retry budget is spent', async () => {
     // Guards against cancelling stalled streams while the retry budget is
     // spent.
     const bounds = {ratio: 0, slack: 0, windowMs: 10_000};
-    const world = await openStreams(
+    const harness = await openStreams(
       [streamWithPause, streamWithPause],
       true,
       5000,
@@ -225,216 +231,223 @@
       bounds,
     );
     try {
-      const answer = await world.call('/stream/x', {tokens: 1000});
+      const answer = await harness.call('/stream/x', {tokens: 1000});
       expect(answer.isWhole).toEqual(true);
       expect(answer.body).toEqual(formatEvents(1, 6));
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('waits for a stalled stream that no engine could prefill in time', async () => {
+  it('keeps waiting for a stalled stream that no other engine could prefill before the deadline', async () => {
     // Guards against cancelling a stalled stream that another engine would
     // finish too late.
-    const world = await openStreams(
+    const harness = await openStreams(
       [streamWithPause, streamWithPause],
       true,
       3000,
     );
     try {
-      const answer = await world.call('/stream/x', {
+      const answer = await harness.call('/stream/x', {
         tokens: 200_000,
         deadlineMs: 3000,
       });
       expect(answer.isWhole).toEqual(true);
       expect(answer.body).toEqual(formatEvents(1, 6));
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('keeps a stalled engine until another one has begun', async () => {
-    // Guards against cancelling a stalled engine before another one has begun.
+  it('completes a stream at its stalled engine if the backup engine refuses', async () => {
+    // Guards against cancelling a stalled engine before the backup engine sends
+    // an event.
     let arrivals = 0;
     const script: TargetScript = (req, res) =>
       ++arrivals === 1 ? streamWithPause(req, res) : answerNotRun(req, res);
-    const world = await openStreams([script, script]);
+    const harness = await openStreams([script, script]);
     try {
-      const answer = await world.call('/stream/x', {tokens: 1000});
+      const answer = await harness.call('/stream/x', {tokens: 1000});
       expect(answer.isWhole).toEqual(true);
       expect(answer.body).toEqual(formatEvents(1, 6));
-      expect(countAttempts(world)).toEqual(2);
+      expect(countAttempts(harness)).toEqual(2);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('goes on with the engine that sends the next event first', async () => {
-    // Guards against repeated events, and against an engine that decodes for
-    // nobody.
+  it('continues with a stalled engine that resumes first and cancels the backup', async () => {
+    // Guards against repeated events, and against a backup engine that keeps
+    // decoding a stream that nobody reads.
     let isSecondClosed = false;
     let arrivals = 0;
     const script: TargetScript = (req, res) => {
       if (++arrivals === 1) return streamWithPause(req, res);
       req.socket.once('close', () => (isSecondClosed = true));
-      const timer = setTimeout(() => streamWhole(req, res), 20_000);
+      const timer = setTimeout(() => streamComplete(req, res), 20_000);
       res.once('close', () => clearTimeout(timer));
     };
-    const world = await openStreams([script, script]);
+    const harness = await openStreams([script, script]);
     try {
-      const answer = await world.call('/stream/x', {tokens: 1000});
+      const answer = await harness.call('/stream/x', {tokens: 1000});
       expect(answer.isWhole).toEqual(true);
       expect(answer.body).toEqual(formatEvents(1, 6));
       expect(arrivals).toEqual(2);
-      await world.waitUntil(() => isSecondClosed);
+      await harness.waitUntil(() => isSecondClosed);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('goes on with the second engine when the stalled one breaks off', async () => {
-    // Guards against a third attempt while the second one is prefilling.
+  it('continues with the backup if the stalled engine closes the connection', async () => {
+    // Guards against a third attempt while the backup engine is prefilling.
     let arrivals = 0;
     const script: TargetScript = (req, res) => {
       if (++arrivals > 1) {
-        setTimeout(() => streamWhole(req, res), 600);
+        setTimeout(() => streamComplete(req, res), 600);
         return;
       }
       res.writeHead(200, buildSignedHead(req));
       res.write(formatEvents(1, 2));
       setTimeout(() => res.destroy(), 1300);
     };
-    const world = await openStreams([script, script]);
+    const harness = await openStreams([script, script]);
     try {
-      const answer = await world.call('/stream/x', {tokens: 1000});
+      const answer = await harness.call('/stream/x', {tokens: 1000});
       expect(answer.isWhole).toEqual(true);
       expect(answer.body).toEqual(formatEvents(1, 6));
       expect(arrivals).toEqual(2);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('waits for a stalled engine that is alive when another one refuses', async () => {
-    // Guards against an unknown outcome while the first engine is about to
-    // answer.
+  it('waits for a stalled engine that is alive if the backup engine refuses', async () => {
+    // Guards against reporting an unknown outcome while the first engine is
+    // about to respond.
     let arrivals = 0;
     const script: TargetScript = (req, res) => {
       if (++arrivals > 1) return answerNotRun(req, res);
-      setTimeout(() => streamWhole(req, res), 2500);
+      setTimeout(() => streamComplete(req, res), 2500);
     };
-    const world = await openStreams([script, script]);
+    const harness = await openStreams([script, script]);
     try {
-      for (const id of ['e0', 'e1']) world.reports.slowdowns.set(id, 1);
-      const answer = await world.call('/stream/x', {tokens: 1000});
+      for (const id of ['e0', 'e1']) harness.reports.slowdowns.set(id, 1);
+      const answer = await harness.call('/stream/x', {tokens: 1000});
       expect(arrivals).toEqual(2);
       expect(answer.isWhole).toEqual(true);
       expect(answer.body).toEqual(formatEvents(1, 6));
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('waits for no dead engine when another one refuses', async () => {
-    // Guards against waiting until the deadline for an engine without power.
+  it('does not wait for a dead engine until the deadline if the backup engine refuses', async () => {
+    // Guards against waiting until the deadline for an engine that has lost
+    // power.
     let arrivals = 0;
     const script: TargetScript = (req, res) => {
       if (++arrivals > 1) answerNotRun(req, res);
     };
-    const world = await openStreams([script, script]);
+    const harness = await openStreams([script, script]);
     try {
-      const answer = await world.call('/stream/x', {tokens: 1000});
+      const answer = await harness.call('/stream/x', {tokens: 1000});
       expect(arrivals).toEqual(2);
-      // At its deadline it would get 504.
+      // The status would be 504 if the gate had waited until the deadline.
       expect(answer.status).toEqual(502);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('closes the engine’s connection when the caller leaves', async () => {
-    // Guards against prefill for a caller that has left.
+  it('closes the connection to the engine when the caller disconnects', async () => {
+    // Guards against a prefill for a caller that has disconnected.
     let isClosed = false;
     const hang: TargetScript = req => {
       req.socket.once('close', () => (isClosed = true));
     };
-    const world = await openStreams([hang]);
+    const harness = await openStreams([hang]);
     try {
-      await world.call('/stream/x', {tokens: 1000, leaveAfterMs: 60});
-      await world.waitUntil(() => isClosed);
+      await harness.call('/stream/x', {tokens: 1000, leaveAfterMs: 60});
+      await harness.waitUntil(() => isClosed);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('sends a stream to nobody once its caller has left', async () => {
+  it('starts no further attempt after the caller has disconnected', async () => {
     // Guards against further attempts for a stream that has ended.
     const hang: TargetScript = () => undefined;
-    const world = await openStreams([hang, hang, hang]);
+    const harness = await openStreams([hang, hang, hang]);
     try {
-      const call = world.call('/stream/x', {tokens: 1000, leaveAfterMs: 400});
-      // In the turn in which the caller leaves, until the engine is overdue.
+      const call = harness.call('/stream/x', {tokens: 1000, leaveAfterMs: 400});
+      // Blocks the event loop, so that the disconnect and the stall timeout are
+      // handled in the same turn.
       setTimeout(() => {
         const lock = new Int32Array(new SharedArrayBuffer(4));
         Atomics.wait(lock, 0, 0, 1500);
       }, 400);
       await call;
-      await world.waitUntil(() =>
-        world.lines.some(line => line.includes('"caller_left"')),
+      await harness.waitUntil(() =>
+        harness.lines.some(line => line.includes('"caller_left"')),
       );
       await new Promise(resolve => setTimeout(resolve, 300));
-      expect(countAttempts(world)).toEqual(1);
+      expect(countAttempts(harness)).toEqual(1);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('moves to another engine when the first goes silent', async () => {
+  it('resumes a stream at another engine if the first one stops sending events', async () => {
     let isFirst = true;
     const stallOnce: TargetScript = (req, res) => {
-      if (!isFirst) return streamWhole(req, res);
+      if (!isFirst) return streamComplete(req, res);
       isFirst = false;
       res.writeHead(200, buildSignedHead(req));
       res.write(formatEvents(1, 2));
     };
-    const world = await openStreams([stallOnce, stallOnce]);
+    const harness = await openStreams([stallOnce, stallOnce]);
     try {
-      const answer = await world.call('/stream/x', {tokens: 1000});
+      const answer = await harness.call('/stream/x', {tokens: 1000});
       expect(answer.body).toEqual(formatEvents(1, 6));
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('releases KV reservations whatever happens', async () => {
+  it('releases all KV cache reservations after a stream has failed', async () => {
     // Guards against KV cache that stays reserved after a stream has failed.
-    const breakOff: TargetScript = (req, res) => {
+    const dropAfterFirstEvent: TargetScript = (req, res) => {
       res.writeHead(200, buildSignedHead(req));
       res.write(formatEvents(1, 1));
       setTimeout(() => res.destroy(), 20);
     };
-    const world = await openStreams([breakOff, breakOff, breakOff]);
+    const harness = await openStreams([
+      dropAfterFirstEvent,
+      dropAfterFirstEvent,
+      dropAfterFirstEvent,
+    ]);
     try {
-      await world.call('/stream/x', {tokens: 330_000, deadlineMs: 5000});
-      await world.waitUntil(() => world.reservations.held.size === 0);
-      const reserved = world.lines.some(line =>
+      await harness.call('/stream/x', {tokens: 330_000, deadlineMs: 5000});
+      await harness.waitUntil(() => harness.reservations.held.size === 0);
+      const reserved = harness.lines.some(line =>
         /"reservations":[1-9]/.test(line),
       );
       expect(reserved).toEqual(true);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('refuses at once when no engine runs it, and says when to return', async () => {
-    const world = await openStreams([answerNotRun, answerNotRun]);
+  it('refuses a stream within a second with 503 and Retry-After if all engines report it as not run', async () => {
+    const harness = await openStreams([answerNotRun, answerNotRun]);
     try {
-      const answer = await world.call('/stream/x', {tokens: 1000});
+      const answer = await harness.call('/stream/x', {tokens: 1000});
       expect(answer.status).toEqual(503);
       expect(Number(answer.retryAfter) > 0).toEqual(true);
       expect(answer.ms < 1000).toEqual(true);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 });
--- a/packages/direct/src/ingress/large-body.test.ts
+++ b/packages/direct/src/ingress/large-body.test.ts
@@ -4,20 +4,21 @@
 import {answerWhole} from '../test/fake-target.js';
 import {openGateWorld} from '../test/gate-world.js';
 
-/** Length of a body that arrives in many pieces, in bytes. */
+/** Length of a request body that arrives in many chunks, in bytes. */
 const BODY_BYTES = 8_000_000;
 
-describe('body above the limit', () => {
-  it('is answered, not reset, however long it is', async () => {
-    // Guards against a caller that loses the refusal of its request.
-    const world = await openGateWorld();
+describe('request body above the limit', () => {
+  it('is answered with 413 without a connection reset', async () => {
+    // Guards against a connection reset that discards the 413 before the caller
+    // reads it.
+    const harness = await openGateWorld();
     try {
-      await world.addTarget('t', 'orders', answerWhole);
-      await world.waitUntil(async () => (await world.askReady()) === 200);
+      await harness.addTarget('t', 'orders', answerWhole);
+      await harness.waitUntil(async () => (await harness.askReady()) === 200);
       let text = '';
       let hasReset = false;
       await new Promise<void>(resolve => {
-        const socket = connect(world.port, world.host, () =>
+        const socket = connect(harness.port, harness.host, () =>
           socket.write(
             'POST /unsafe/x HTTP/1.1\r\nHost: site\r\nx-test-key: k1\r\n' +
               'x-test-id: q1\r\nConnection: close\r\n' +
@@ -31,7 +32,7 @@
       expect(hasReset).toEqual(false);
       expect(text.slice(9, 12)).toEqual('413');
     } finally {
-      world.close();
+      harness.close();
     }
   });
 });
