--- a/packages/direct/src/forward/caller-response.ts
+++ b/packages/direct/src/forward/caller-response.ts
@@ -1,12 +1,12 @@
 /**
- * The answer to one caller: a target's, unchanged, or the gate's own. A failure
- * after the head cuts the connection, so that an incomplete answer never looks
- * complete.
+ * Response to one caller: either a target's response, passed through, or an
+ * error from the gate. A failure after the head has been sent closes the
+ * connection, so that an incomplete response never looks complete.
  */
 import type {ServerResponse} from 'node:http';
 import type {RawHeaders} from '../types.js';
 
-/** Hop-by-hop header fields. */
+/** Hop-by-hop header fields, which are never forwarded. */
 const HOP_BY_HOP = new Set([
   'connection',
   'keep-alive',
@@ -20,7 +20,7 @@
 ]);
 
 /**
- * Removes hop-by-hop fields, including those that `Connection` names.
+ * Removes hop-by-hop header fields, including those that `Connection` lists.
  *
  * @example
  * stripHopByHop(['Connection', 'x', 'X', '1', 'A', '2']); // ['A', '2']
@@ -42,13 +42,13 @@
 }
 
 /**
- * How the end of an answer is marked: by its length or chunks, or by the end of
- * the connection.
+ * How the end of a response is marked: by its length or chunked encoding
+ * (`framed`), or by the end of the connection (`by-close`).
  */
-export type AnswerFraming = 'framed' | 'by-close';
+export type ResponseFraming = 'framed' | 'by-close';
 
-/** Why the gate answers itself. */
-export type OwnAnswerReason =
+/** Reason that the gate gives when it responds with an error of its own. */
+export type GateErrorReason =
   | 'no_configuration'
   | 'configuration_stale'
   | 'unknown_route'
@@ -63,68 +63,73 @@
   | 'stopping';
 
 /**
- * One caller's answer.
+ * Response to one caller.
  *
  * @example
  * caller.refuse(503, 'overloaded', 800);
  */
 export class CallerResponse {
-  /** Status sent to the caller; absent before the head. */
+  /** Status sent to the caller; absent until the head is sent. */
   status: number | undefined;
   private isUnframed = false;
-  private readonly leaveListeners: Array<() => void> = [];
-  private hasLeft = false;
+  private readonly disconnectListeners: Array<() => void> = [];
+  private hasDisconnected = false;
 
   constructor(
     private readonly response: ServerResponse,
     private readonly isStopping: () => boolean,
   ) {
-    // Writes after the end raise an error here; the answer stands.
+    // A write after the end emits an error that does not affect the response.
     response.on('error', () => undefined);
     response.on('close', () => {
       if (response.writableFinished) return;
-      this.hasLeft = true;
-      for (const listener of this.leaveListeners.splice(0)) listener();
+      this.hasDisconnected = true;
+      for (const listener of this.disconnectListeners.splice(0)) listener();
     });
   }
 
-  /** True if the caller's connection closed before the answer was complete. */
-  get isGone(): boolean {
-    return this.hasLeft;
+  /**
+   * True if the caller's connection closed before the response was complete.
+   */
+  get isDisconnected(): boolean {
+    return this.hasDisconnected;
   }
 
-  /** Registers a listener for the caller's disconnect. */
-  onLeave(listener: () => void): void {
-    if (this.hasLeft) listener();
-    else this.leaveListeners.push(listener);
+  /**
+   * Registers a listener for the caller's disconnect; calls it at once if the
+   * caller has already disconnected.
+   */
+  onDisconnect(listener: () => void): void {
+    if (this.hasDisconnected) listener();
+    else this.disconnectListeners.push(listener);
   }
 
-  /** Starts a target's answer; its body follows. */
-  start(status: number, headers: RawHeaders, framing: AnswerFraming): void {
+  /** Sends the head of a target's response; `write` sends its body. */
+  start(status: number, headers: RawHeaders, framing: ResponseFraming): void {
     this.status = status;
     const kept = stripHopByHop(headers);
-    this.closeAfter(kept, framing);
+    this.addConnectionClose(kept, framing);
     this.response.sendDate = false;
     this.response.writeHead(status, kept);
     this.response.flushHeaders();
   }
 
-  /** Sends a part of the body. */
+  /** Sends a part of the response body. */
   write(bytes: Buffer): void {
     this.response.write(bytes);
   }
 
-  /** Ends a complete answer. */
+  /** Ends a complete response. */
   finish(): void {
     this.response.end();
   }
 
-  /** Sends a target's complete answer. */
-  sendWhole(
+  /** Sends a target's complete response. */
+  sendComplete(
     status: number,
     headers: RawHeaders,
     body: Buffer,
-    framing: AnswerFraming,
+    framing: ResponseFraming,
   ): void {
     this.status = status;
     const kept = stripHopByHop(headers);
@@ -133,18 +138,20 @@
     );
     if (!hasLength && framing === 'framed')
       kept.push('Content-Length', String(body.length));
-    this.closeAfter(kept, framing);
+    this.addConnectionClose(kept, framing);
     this.response.sendDate = false;
     this.response.writeHead(status, kept);
     this.response.end(body);
   }
 
   /**
-   * Answers as the gate itself.
+   * Sends an error response of the gate; closes the connection if the head of
+   * another response has been sent.
    *
-   * @param retryAfterMs - Absent if a retry would not help.
+   * @param retryAfterMs - Delay for Retry-After, in ms; absent if a retry would
+   *   not help.
    */
-  refuse(status: number, reason: OwnAnswerReason, retryAfterMs?: number): void {
+  refuse(status: number, reason: GateErrorReason, retryAfterMs?: number): void {
     if (this.status !== undefined) {
       this.drop();
       return;
@@ -164,19 +171,22 @@
     this.response.end(body);
   }
 
-  /** Cuts the connection: the answer is incomplete. */
+  /** Closes the connection to show that the response is incomplete. */
   drop(): void {
-    // An ordinary close would end an unframed answer properly.
+    // An ordinary close would mark an unframed response as complete.
     if (this.isUnframed) this.response.socket?.resetAndDestroy();
     this.response.destroy();
   }
 
   /**
-   * Adds `Connection: close` where the answer ends the connection. An answer
-   * without a length stays unframed, as the gate cannot know that it is
-   * complete.
+   * Adds `Connection: close` if the response is unframed or the gate is
+   * stopping. A response without a length stays unframed, because the gate
+   * cannot know whether it is complete.
    */
-  private closeAfter(headers: string[], framing: AnswerFraming): void {
+  private addConnectionClose(
+    headers: string[],
+    framing: ResponseFraming,
+  ): void {
     this.isUnframed = framing === 'by-close';
     if (this.isUnframed) this.response.useChunkedEncodingByDefault = false;
     if (this.isUnframed || this.isStopping())
--- a/packages/direct/src/forward/event-splitter.ts
+++ b/packages/direct/src/forward/event-splitter.ts
@@ -1,35 +1,38 @@
 /**
- * Splits a stream of server-sent events. Only whole events are forwarded, so
- * that another target can continue after the last one.
+ * Splits a byte stream into server-sent events. Only complete events are
+ * forwarded, so that another target can resume the stream after the last one.
  */
 
-/** One whole event with its terminating bytes. */
+/** One complete event. */
 export interface StreamEvent {
+  /** Bytes of the event, including the blank line that ends it. */
   readonly bytes: Buffer;
-  /** Value of its `id` field; absent when it has none. */
+  /** Value of the `id` field; absent if the event has none. */
   readonly id: string | undefined;
 }
 
 const BOUNDARY = '\n\n';
 
 /**
- * Buffers bytes and returns whole events.
+ * Splits bytes into complete events and buffers incomplete ones.
  *
  * @example
  * splitter.push(Buffer.from('id: 1\ndata: a\n\nid')); // one event
  */
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0);
+  private remainder: Buffer = Buffer.alloc(0);
 
   /** True if bytes of an incomplete event are buffered. */
   get hasPartialEvent(): boolean {
-    return this.rest.length > 0;
+    return this.remainder.length > 0;
   }
 
-  /** Adds bytes and returns the events that they complete. */
+  /** Adds bytes and returns the events completed by them. */
   push(bytes: Buffer): readonly StreamEvent[] {
     let buffer =
-      this.rest.length === 0 ? bytes : Buffer.concat([this.rest, bytes]);
+      this.remainder.length === 0
+        ? bytes
+        : Buffer.concat([this.remainder, bytes]);
     const events: StreamEvent[] = [];
     let end = buffer.indexOf(BOUNDARY);
     while (end >= 0) {
@@ -38,7 +41,7 @@
       buffer = buffer.subarray(end + BOUNDARY.length);
       end = buffer.indexOf(BOUNDARY);
     }
-    this.rest = buffer;
+    this.remainder = buffer;
     return events;
   }
 }
@@ -49,7 +52,7 @@
 }
 
 /**
- * Creates a splitter.
+ * Creates a splitter for one stream.
  *
  * @example
  * const splitter = createEventSplitter();
--- a/packages/direct/src/forward/kv-lease.ts
+++ b/packages/direct/src/forward/kv-lease.ts
@@ -1,44 +1,45 @@
 /**
- * KV cache reserved on helpers for one long prompt. Reservations are short
- * leases, renewed while the stream lasts, so they expire soon after this
- * process dies or a release is lost.
+ * Reserves KV cache on the prefill helpers of one long prompt. Reservations are
+ * short leases that are renewed while the stream lasts, so they expire soon
+ * after this process dies or a release is lost.
  */
 import type {KvReservations} from '../ports.js';
 import type {Target} from '../types.js';
 
 /**
- * Length of a lease, in ms: idle reservations must end within four seconds, and
- * a delayed one may start late.
+ * Lease duration, in ms: unused reservations must end within four seconds,
+ * which includes the delay until a reservation starts.
  */
 const LEASE_MS = 3200;
 
-/** Period of the renewals, in ms: two may be lost before the lease ends. */
+/** Renewal interval, in ms: a lease survives the loss of two renewals. */
 const RENEW_MS = 1200;
 
 /**
- * Consecutive polls that the engine may leave unanswered: later, the lease has
- * expired.
+ * Number of consecutive unanswered polls after which renewals stop, as the
+ * lease expires before the next one.
  */
-const MOST_MISSED = 2;
+const MAX_MISSED_POLLS = 2;
 
-/** One reservation. */
-export interface LeasedTicket {
+/** Reservation that is held on one target. */
+export interface LeasedReservation {
   readonly target: Target;
   readonly ticket: string;
 }
 
-/** Says whether the engine that decodes a prompt is alive. */
+/** Checks whether the engine that decodes a prompt is alive. */
 export interface LivenessCheck {
-  /** True if it has just sent bytes, for any request. */
-  isHeard(): boolean;
-  /** Polls it; false if it does not answer in time. */
+  /** Returns true if the engine has just sent bytes, for any request. */
+  isActive(): boolean;
+  /** Polls the engine; resolves with false if no reply arrives in time. */
   ask(): Promise<boolean>;
 }
 
 /**
- * The reservations of one prompt, renewed only while its engine is alive: one
- * that loses power resets no connection, and a long prompt's first token may
- * take many seconds.
+ * KV cache reservations of one prompt, renewed only while the decoding engine
+ * is alive. An open connection does not show that: an engine that loses power
+ * resets no connection, and the first token of a long prompt may take many
+ * seconds.
  *
  * @example
  * const lease = await openKvLease(reservations, 'gate-1/7', requests, engine);
@@ -46,28 +47,29 @@
  */
 export class KvLease {
   private readonly timer: NodeJS.Timeout;
-  /** Renewals under way. */
-  private readonly renewals = new Set<Promise<LeasedTicket>>();
+  /** Renewals that have not completed. */
+  private readonly renewals = new Set<Promise<LeasedReservation>>();
   private isClosed = false;
-  private missed = 0;
+  private missedPolls = 0;
 
   constructor(
     private readonly reservations: KvReservations,
-    readonly tickets: readonly LeasedTicket[],
+    readonly tickets: readonly LeasedReservation[],
     private readonly tokens: ReadonlyMap<string, number>,
     private readonly liveness: LivenessCheck,
   ) {
-    this.timer = setInterval(() => this.handleDue(), RENEW_MS);
+    this.timer = setInterval(() => this.handleRenewalTimer(), RENEW_MS);
   }
 
-  /** Finds the ticket of a reservation on `target`. */
+  /** Returns the ticket of the reservation on `target`. */
   findTicket(target: string): string | undefined {
     return this.tickets.find(held => held.target.id === target)?.ticket;
   }
 
   /**
-   * Releases everything. A renewal under way may arrive after the release, so
-   * it is released again once answered.
+   * Stops the renewals and releases all reservations. A pending renewal may
+   * reach its target after the release, so its reservation is released again
+   * once the renewal has completed.
    */
   close(): void {
     this.isClosed = true;
@@ -77,12 +79,12 @@
       void renewal.then(held => this.release(held));
   }
 
-  private release({target, ticket}: LeasedTicket): void {
+  private release({target, ticket}: LeasedReservation): void {
     void this.reservations.release(target, ticket);
   }
 
-  private handleDue(): void {
-    if (this.liveness.isHeard()) this.renew();
+  private handleRenewalTimer(): void {
+    if (this.liveness.isActive()) this.renew();
     else void this.renewIfAlive();
   }
 
@@ -90,11 +92,11 @@
     const isAlive = await this.liveness.ask();
     if (this.isClosed) return;
     if (isAlive) this.renew();
-    else if (++this.missed >= MOST_MISSED) clearInterval(this.timer);
+    else if (++this.missedPolls >= MAX_MISSED_POLLS) clearInterval(this.timer);
   }
 
   private renew(): void {
-    this.missed = 0;
+    this.missedPolls = 0;
     for (const held of this.tickets) {
       const renewal = this.renewOne(held);
       this.renewals.add(renewal);
@@ -102,46 +104,47 @@
     }
   }
 
-  private async renewOne(held: LeasedTicket): Promise<LeasedTicket> {
+  private async renewOne(held: LeasedReservation): Promise<LeasedReservation> {
     const tokens = this.tokens.get(held.target.id) ?? 0;
     await this.reservations.reserve(held.target, held.ticket, tokens, LEASE_MS);
     return held;
   }
 }
 
-/** KV cache wanted on one target. */
+/** Amount of KV cache to reserve on one target. */
 export interface KvRequest {
   readonly target: Target;
   readonly tokens: number;
 }
 
 /**
- * Reserves everything or nothing. If one reservation fails, the others are
- * released, and so are unanswered ones, which may have been granted.
+ * Reserves KV cache on all targets or on none. If one reservation fails, all
+ * except refused ones are released, including those without a reply, which may
+ * have been granted.
  *
- * @returns Nothing if one of them was not granted.
+ * @returns The lease; undefined if a reservation was not granted.
  * @example
  * const lease = await openKvLease(reservations, 'gate-1/7', requests, engine);
  */
 export async function openKvLease(
   reservations: KvReservations,
   name: string,
-  wishes: readonly KvRequest[],
+  kvRequests: readonly KvRequest[],
   liveness: LivenessCheck,
 ): Promise<KvLease | undefined> {
   const outcomes = await Promise.all(
-    wishes.map(({target, tokens}) =>
+    kvRequests.map(({target, tokens}) =>
       reservations.reserve(target, name, tokens, LEASE_MS),
     ),
   );
   if (outcomes.every(outcome => outcome === 'granted'))
     return new KvLease(
       reservations,
-      wishes.map(({target}) => ({target, ticket: name})),
-      new Map(wishes.map(({target, tokens}) => [target.id, tokens])),
+      kvRequests.map(({target}) => ({target, ticket: name})),
+      new Map(kvRequests.map(({target, tokens}) => [target.id, tokens])),
       liveness,
     );
-  wishes.forEach(({target}, i) => {
+  kvRequests.forEach(({target}, i) => {
     if (outcomes[i] !== 'refused') void reservations.release(target, name);
   });
   return undefined;
--- a/packages/direct/src/forward/open-exchanges.ts
+++ b/packages/direct/src/forward/open-exchanges.ts
@@ -1,6 +1,7 @@
 /**
- * Exchanges under way, by the address of their target. A server that loses
- * power resets no connection, but another one may appear at its address.
+ * Tracks running exchanges by the address of their target. A server that loses
+ * power resets no connection; a new server at the same address shows that it is
+ * gone.
  */
 import {isNewer} from '../fleet/fact-position.js';
 import {openExchange} from './exchange.js';
@@ -13,7 +14,7 @@
 }
 
 /**
- * The exchanges of one gate.
+ * Running exchanges of one gate.
  *
  * @example
  * const exchange = exchanges.open({target, method, path, headers, body});
@@ -22,28 +23,29 @@
 export class OpenExchanges {
   private readonly byAddress = new Map<string, Set<OpenExchange>>();
 
-  /** Sends a request to a target. */
+  /** Sends a request to a target and tracks it until its connection closes. */
   open(options: ExchangeOptions): Exchange {
     const {target} = options;
     const exchange = openExchange(options);
     const open = {exchange, target};
     const address = formatAddress(target);
-    const sharing = this.byAddress.get(address) ?? new Set();
-    this.byAddress.set(address, sharing.add(open));
+    const sameAddress = this.byAddress.get(address) ?? new Set();
+    this.byAddress.set(address, sameAddress.add(open));
     exchange.onClose(() => {
-      sharing.delete(open);
-      if (sharing.size === 0) this.byAddress.delete(address);
+      sameAddress.delete(open);
+      if (sameAddress.size === 0) this.byAddress.delete(address);
     });
     return exchange;
   }
 
   /**
-   * Fails exchanges with servers that had the address of `target` before it.
+   * Fails the exchanges with servers that used the address of `target` before
+   * it.
    */
   endReplaced(target: Target): void {
-    const sharing = this.byAddress.get(formatAddress(target)) ?? [];
-    for (const {exchange, target: earlier} of [...sharing]) {
-      // A late message about an older entry says nothing about a newer one.
+    const sameAddress = this.byAddress.get(formatAddress(target)) ?? [];
+    for (const {exchange, target: earlier} of [...sameAddress]) {
+      // A delayed update of an older entry must not fail newer exchanges.
       const isReplaced =
         earlier.id !== target.id && isNewer(target.position, earlier.position);
       if (isReplaced) exchange.markBroken();
--- a/packages/direct/src/forward/stream-attempt.ts
+++ b/packages/direct/src/forward/stream-attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt at a stream: KV reservations on helpers if needed, one exchange
- * with the decoding engine, and its events forwarded.
+ * Runs one attempt at a stream: reserves KV cache on prefill helpers if needed,
+ * sends the request to the decoding engine and forwards its events.
  */
 import {ExchangeError} from '../errors.js';
 import {estimatePrefillMs} from '../placement/engine-model.js';
@@ -8,65 +8,75 @@
 import {findFraming} from './exchange.js';
 import {readVerdict} from './judge-answer.js';
 import {openKvLease} from './kv-lease.js';
-import {LIVENESS_MS, StallTimer, countTtftLimitMs} from './stall-timer.js';
+import {
+  LIVENESS_WINDOW_MS,
+  StallTimer,
+  chooseTtftTimeoutMs,
+} from './stall-timer.js';
 import type {PlacedPrompt} from '../placement/prompt-placer.js';
 import type {EngineFigures} from '../types.js';
 import type {ForwardContext} from './context.js';
-import type {AnswerHead, Exchange} from './exchange.js';
+import type {ResponseHead, Exchange} from './exchange.js';
 import type {KvLease, LivenessCheck} from './kv-lease.js';
 import type {GateRequest} from './request.js';
 import type {StallVerdict} from './stall-timer.js';
 import type {StreamProgress} from './stream-progress.js';
 
 /**
- * Multiple of the inter-token objective, and least time in ms, after which a
- * stream counts as stalled.
+ * Time without an event after which a stream counts as stalled: a multiple of
+ * the inter-token latency objective, and a minimum in ms.
  */
-const STALL_ITL_OBJECTIVES = 2.5;
+const STALL_ITL_FACTOR = 2.5;
 const STALL_MIN_MS = 1000;
 
-/** Age up to which bytes of an engine show that it is alive, in ms. */
-const ALIVE_MS = 400;
+/** Period within which bytes of an engine show that it is alive, in ms. */
+const ACTIVITY_WINDOW_MS = 400;
 
-/** Priority at the engine by prompt size: short prompts first. */
+/**
+ * Engine priority by maximum prompt size in tokens; short prompts go first.
+ */
 const PRIORITY_BY_TOKENS: ReadonlyArray<readonly [number, number]> = [
   [16_000, 2],
   [80_000, 4],
   [Infinity, 5],
 ];
 
-/** How an attempt ended. */
+/** Result of an attempt. */
 export type AttemptEnd =
-  /** The caller has the complete answer. */
+  /** The caller has received the complete stream. */
   | {readonly kind: 'done'}
-  /** The caller has a failure that the target signed. */
+  /** The caller has received an error response of the target. */
   | {readonly kind: 'passed-on'}
-  /** Helpers lacked KV cache; nothing was sent. */
+  /** Helpers lacked KV cache, so the request was not sent. */
   | {readonly kind: 'no-memory'}
   | {readonly kind: 'not-run'; readonly faultyAddress: string | undefined}
   | {readonly kind: 'failed'; readonly error: ExchangeError};
 
-/** Parameters of an attempt. */
+/** Options of an attempt. */
 export interface StreamAttemptOptions {
   readonly context: ForwardContext;
   readonly request: GateRequest;
   readonly engine: EngineFigures;
   readonly placed: PlacedPrompt;
   readonly progress: StreamProgress;
-  /** Name of this attempt for its reservations. */
+  /** Unique name of the attempt, used as the ticket of its reservations. */
   readonly name: string;
-  /** True if another attempt may follow, or is under way. */
-  readonly mayFollow: () => boolean;
-  /** Starts another engine; this one is kept until that has begun. */
-  readonly startFollower: () => void;
+  /** Returns true if another attempt may start or is running. */
+  readonly isBackupPossible: () => boolean;
+  /**
+   * Starts an attempt at another engine; this attempt continues until the other
+   * one forwards its first event.
+   */
+  readonly startBackup: () => void;
   /**
-   * Claims the caller's answer for this attempt; false if another one has it.
+   * Claims the caller's response for this attempt; returns false if another
+   * attempt has claimed it.
    */
-  readonly claimLead: () => boolean;
+  readonly claimResponse: () => boolean;
 }
 
 /**
- * One attempt.
+ * One attempt at a stream.
  *
  * @example
  * const end = await new StreamAttempt(options).run();
@@ -77,7 +87,7 @@
 
   constructor(private readonly options: StreamAttemptOptions) {}
 
-  /** Runs to the end; never rejects for a failure of targets. */
+  /** Runs the attempt; resolves, not rejects, if a target fails. */
   async run(): Promise<AttemptEnd> {
     const lease = await this.openLease();
     if (lease === 'refused') return {kind: 'no-memory'};
@@ -92,7 +102,7 @@
     }
   }
 
-  /** Cancels the attempt, so that its engine drops the request. */
+  /** Cancels the attempt, so that the engine drops the request. */
   cancel(): void {
     this.isCancelled = true;
     this.exchange?.cancel();
@@ -102,14 +112,14 @@
     const {context, placed, name} = this.options;
     const {reservations} = placed.choice;
     if (reservations.length === 0) return undefined;
-    const wishes = reservations.flatMap(({target, tokens}) => {
+    const kvRequests = reservations.flatMap(({target, tokens}) => {
       const helper = placed.helpers.find(({id}) => id === target);
       return helper === undefined ? [] : [{target: helper, tokens}];
     });
     const lease = await openKvLease(
       context.reservations,
       name,
-      wishes,
+      kvRequests,
       this.createLivenessCheck(),
     );
     return lease ?? 'refused';
@@ -119,30 +129,35 @@
     const {health, readNow, reports} = this.options.context;
     const {target} = this.options.placed;
     return {
-      isHeard: () => health.isHeardSince(target.id, readNow() - ALIVE_MS),
+      isActive: () =>
+        health.isHeardSince(target.id, readNow() - ACTIVITY_WINDOW_MS),
       ask: async () => (await reports.read(target)) !== undefined,
     };
   }
 
   private async runExchange(lease?: KvLease): Promise<AttemptEnd> {
-    // The caller may have left during the reservation.
+    // The attempt may have been cancelled while KV cache was being reserved.
     if (this.isCancelled) throw new ExchangeError('cancelled', false);
     const exchange = this.sendToDecoder(lease);
     this.exchange = exchange;
-    const stall = new StallTimer(() => this.judgeStall());
+    const stallTimer = new StallTimer(() => this.judgeStall());
     const {request, engine, placed} = this.options;
     const prefillMs = estimatePrefillMs(
       request.facts.promptTokens ?? 0,
       engine,
     );
     const {predictedTtftMs} = placed.choice;
-    stall.restart(
-      countTtftLimitMs(predictedTtftMs, prefillMs, request.route.objectiveMs),
+    stallTimer.restart(
+      chooseTtftTimeoutMs(
+        predictedTtftMs,
+        prefillMs,
+        request.route.objectiveMs,
+      ),
     );
     try {
-      return await this.readAnswer(exchange, stall);
+      return await this.readResponse(exchange, stallTimer);
     } finally {
-      stall.stop();
+      stallTimer.stop();
     }
   }
 
@@ -170,27 +185,28 @@
   }
 
   /**
-   * Starts another engine only if one is allowed and free, and this one is
-   * neither prefilling newer prompts nor answering others: a second prefill
-   * adds load. This one is kept, as it may resume first.
+   * Starts a backup attempt if a retry is allowed, another engine has a free
+   * slot, and this engine is neither expected to be prefilling nor sending
+   * bytes for other requests, since a second prefill adds load. This attempt
+   * continues in either case, as its engine may resume first.
    */
   private judgeStall(): StallVerdict {
-    const {context, placed, mayFollow, startFollower} = this.options;
+    const {context, placed, isBackupPossible, startBackup} = this.options;
     const {request, engine} = this.options;
     const {health, readNow, prompts} = context;
-    if (!mayFollow()) return 'ignore';
+    if (!isBackupPossible()) return 'ignore';
     if (placed.isPrefilling()) return 'wait';
     const others = new Set([placed.target.id]);
     if (!prompts.isSlotFree(request.service, engine, others)) return 'wait';
-    if (health.isHeardSince(placed.target.id, readNow() - LIVENESS_MS))
+    if (health.isHeardSince(placed.target.id, readNow() - LIVENESS_WINDOW_MS))
       return 'wait';
-    startFollower();
+    startBackup();
     return 'wait';
   }
 
-  private async readAnswer(
+  private async readResponse(
     exchange: Exchange,
-    stall: StallTimer,
+    stallTimer: StallTimer,
   ): Promise<AttemptEnd> {
     const {context, request} = this.options;
     const head = await exchange.head;
@@ -203,20 +219,21 @@
       return {kind: 'not-run', faultyAddress: facts.faultyAddress};
     if (verdict === 'foreign') throw new ExchangeError('foreign-answer', true);
     if (head.status !== 200) return this.forwardFailure(exchange, head);
-    this.startAnswer(head);
-    await this.forwardEvents(exchange, head, stall);
-    this.claimLead();
+    this.startResponse(head);
+    await this.forwardEvents(exchange, head, stallTimer);
+    this.claimResponse();
     request.caller.finish();
     return {kind: 'done'};
   }
 
-  private claimLead(): void {
-    if (!this.options.claimLead()) throw new ExchangeError('cancelled', true);
+  private claimResponse(): void {
+    if (!this.options.claimResponse())
+      throw new ExchangeError('cancelled', true);
   }
 
-  private startAnswer(head: AnswerHead): void {
+  private startResponse(head: ResponseHead): void {
     const {request, progress} = this.options;
-    // A resumed stream keeps the head of its first engine.
+    // A resumed stream keeps the response head of its first engine.
     if (progress.hasHead) return;
     const framing = findFraming(head.message);
     request.caller.start(head.status, head.message.rawHeaders, framing);
@@ -226,25 +243,22 @@
 
   private async forwardEvents(
     exchange: Exchange,
-    head: AnswerHead,
-    stall: StallTimer,
+    head: ResponseHead,
+    stallTimer: StallTimer,
   ): Promise<void> {
     const {context, request, placed, progress} = this.options;
     const {route, caller} = request;
     const itlObjectiveMs = route.itlObjectiveMs ?? route.objectiveMs;
-    const stallMs = Math.max(
-      STALL_MIN_MS,
-      STALL_ITL_OBJECTIVES * itlObjectiveMs,
-    );
+    const stallMs = Math.max(STALL_MIN_MS, STALL_ITL_FACTOR * itlObjectiveMs);
     const splitter = createEventSplitter();
     let isFirst = true;
     for await (const bytes of exchange.readBody(head)) {
       const events = splitter.push(bytes);
       if (events.length === 0) continue;
-      this.claimLead();
+      this.claimResponse();
       if (isFirst) placed.markBegun();
       isFirst = false;
-      stall.restart(stallMs);
+      stallTimer.restart(stallMs);
       const now = context.readNow();
       context.health.markHeard(placed.target.id, now);
       for (const event of events) {
@@ -253,23 +267,26 @@
         if (ttftMs !== undefined) context.ttftMs.recordMs(ttftMs);
       }
     }
-    // A framed answer must not end with an unframed one.
+    // A framed response must not end with the body of an unframed one.
     const framing = findFraming(head.message);
-    const isPromiseBroken = framing === 'by-close' && !progress.isUnframed;
-    if (splitter.hasPartialEvent || isPromiseBroken)
+    const isFramingLost = framing === 'by-close' && !progress.isUnframed;
+    if (splitter.hasPartialEvent || isFramingLost)
       throw new ExchangeError('truncated', true);
   }
 
-  /** Forwards a failure that the target signed, before any event. */
+  /**
+   * Forwards an error response of the target if no event has been sent and no
+   * other attempt is possible.
+   */
   private async forwardFailure(
     exchange: Exchange,
-    head: AnswerHead,
+    head: ResponseHead,
   ): Promise<AttemptEnd> {
-    const {request, progress, mayFollow} = this.options;
+    const {request, progress, isBackupPossible} = this.options;
     const body = await exchange.readWholeBody(head);
-    if (progress.hasHead || mayFollow())
+    if (progress.hasHead || isBackupPossible())
       throw new ExchangeError('malformed', true);
-    request.caller.sendWhole(
+    request.caller.sendComplete(
       head.status,
       head.message.rawHeaders,
       body,
--- a/packages/direct/src/forward/stream-forwarder.ts
+++ b/packages/direct/src/forward/stream-forwarder.ts
@@ -1,12 +1,12 @@
 /**
- * Forwards a stream. If its engine dies, stalls or sends garbage, another one
- * continues after the last whole event within the same answer, where the route
- * allows it.
+ * Forwards streams. If an engine dies, stalls or sends an invalid response,
+ * another engine resumes the stream after the last complete event within the
+ * same response, if the route allows it.
  */
 import {PlacedPrompt} from '../placement/prompt-placer.js';
 import {AttemptChain} from './attempt-chain.js';
 import {SlotFinder} from './slot-finder.js';
-import {chooseReturnMs} from './retry-after.js';
+import {chooseRetryAfterMs} from './retry-after.js';
 import {StreamAttempt} from './stream-attempt.js';
 import {StreamProgress} from './stream-progress.js';
 import {StreamRecord} from './stream-record.js';
@@ -17,37 +17,39 @@
 import type {AttemptFault} from './stream-record.js';
 
 /**
- * Retry-After when all slots are taken, in ms: about as long as a slot is held.
+ * Base of Retry-After when all slots are taken, in ms: about the time for which
+ * a stream occupies a slot.
  */
-const OVERLOAD_RETURN_MS = 1200;
+const OVERLOAD_RETRY_AFTER_MS = 1200;
 
-/** Time left below which no further engine is tried, in ms. */
+/** Minimum time until the deadline to try another engine, in ms. */
 const MIN_RETRY_LEFT_MS = 250;
 
-/** Attempts whose connection could not be opened, at most. */
-const MAX_UNSENT_TRIES = 4;
+/** Maximum number of attempts that fail before the request is sent. */
+const MAX_UNSENT_ATTEMPTS = 4;
 
-/** An end of an attempt that leaves the caller without an answer. */
+/** Result of an attempt after which the response is still incomplete. */
 type FailedEnd = Exclude<AttemptEnd, {kind: 'done' | 'passed-on'}>;
 
-/** Why the gate refuses a stream itself. */
+/** Reason for which the gate refuses a stream. */
 type RefusalReason = 'no_target' | 'not_run' | 'too_late' | 'overloaded';
 
-/** One stream under way. */
+/** State of one forwarded stream and its attempts. */
 class StreamRun {
   private readonly tried = new Set<string>();
   /**
-   * Chains under way: two while a stalled engine is kept beside another one.
+   * Running chains: two while a backup runs beside a stalled engine, otherwise
+   * one.
    */
   private readonly chains = new Set<AttemptChain>();
   private readonly progress: StreamProgress;
   private readonly record: StreamRecord;
   private readonly finder: SlotFinder;
-  private sends = 0;
-  private unsentTries = 0;
+  private sentAttempts = 0;
+  private unsentAttempts = 0;
   private mayHaveRun = false;
   private isSettled = false;
-  private expiry: NodeJS.Timeout | undefined;
+  private deadlineTimer: NodeJS.Timeout | undefined;
 
   constructor(
     private readonly context: ForwardContext,
@@ -61,11 +63,11 @@
 
   run(): void {
     const {request, context} = this;
-    this.expiry = setTimeout(
-      () => this.endWith(504, 'timeout'),
+    this.deadlineTimer = setTimeout(
+      () => this.endWithError(504, 'timeout'),
       request.expiresAt - context.readNow(),
     );
-    request.caller.onLeave(() => this.settle('caller_left'));
+    request.caller.onDisconnect(() => this.settle('caller_left'));
     if (!this.isSettled) void this.runChain();
   }
 
@@ -75,7 +77,7 @@
     while (!chain.isClosed) {
       const placed = await this.place(chain);
       if (placed === undefined) break;
-      const end = await this.tryOnce(chain, placed);
+      const end = await this.runAttempt(chain, placed);
       if (this.isSettled) break;
       this.handleEnd(chain, placed, end);
     }
@@ -87,31 +89,36 @@
     chain.close();
   }
 
-  /** True if another chain is under way. */
-  private isOther(chain: AttemptChain): boolean {
+  /** Returns true if a chain other than `chain` is running. */
+  private isOtherChainOpen(chain: AttemptChain): boolean {
     return [...this.chains].some(other => other !== chain);
   }
 
   /**
-   * Places the stream; if that fails, answers the caller unless another chain
-   * may.
+   * Places the next attempt. If no engine is found, responds to the caller
+   * unless another chain is running.
    */
   private async place(chain: AttemptChain): Promise<PlacedPrompt | undefined> {
-    if (this.sends > 0 && this.readLeftMs() < MIN_RETRY_LEFT_MS) {
+    if (this.sentAttempts > 0 && this.readLeftMs() < MIN_RETRY_LEFT_MS) {
       this.giveUp(chain, 'no_time_left');
       return undefined;
     }
-    // Streams that have been attempted skip the queue.
-    const mayOverfill = this.sends > 0 || this.unsentTries > 0;
+    // A stream that has already been attempted skips the admission queue.
+    const mayOverfill = this.sentAttempts > 0 || this.unsentAttempts > 0;
     const result = await this.finder.findSlot(mayOverfill, chain.signal);
-    if (result instanceof PlacedPrompt) return this.checkInTime(chain, result);
+    if (result instanceof PlacedPrompt)
+      return this.checkDeadline(chain, result);
     if (result === 'none') this.giveUp(chain, 'no_target');
-    if (result === 'full') this.refuse(chain, 'overloaded', OVERLOAD_RETURN_MS);
+    if (result === 'full')
+      this.refuse(chain, 'overloaded', OVERLOAD_RETRY_AFTER_MS);
     return undefined;
   }
 
-  /** Releases the slot if the answer would come after the deadline. */
-  private checkInTime(
+  /**
+   * Releases the slot if the first token is predicted after the deadline or the
+   * chain is closed.
+   */
+  private checkDeadline(
     chain: AttemptChain,
     placed: PlacedPrompt,
   ): PlacedPrompt | undefined {
@@ -122,14 +129,14 @@
     return undefined;
   }
 
-  private async tryOnce(
+  private async runAttempt(
     chain: AttemptChain,
     placed: PlacedPrompt,
   ): Promise<AttemptEnd> {
     const {context, request, engine, progress} = this;
     const placedAt = context.readNow();
-    this.sends++;
-    this.record.addPlacement(placed, this.sends);
+    this.sentAttempts++;
+    this.record.addPlacement(placed, this.sentAttempts);
     chain.placed = placed;
     chain.attempt = new StreamAttempt({
       context,
@@ -137,10 +144,10 @@
       engine,
       placed,
       progress,
-      name: `${request.facts.requestId ?? 'none'}-${this.sends}-${this.unsentTries}`,
-      mayFollow: () => this.isFollowable(chain),
-      startFollower: () => this.startFollower(chain, placed),
-      claimLead: () => this.claimLead(chain),
+      name: `${request.facts.requestId ?? 'none'}-${this.sentAttempts}-${this.unsentAttempts}`,
+      isBackupPossible: () => this.isBackupPossible(chain),
+      startBackup: () => this.startBackup(chain, placed),
+      claimResponse: () => this.claimResponse(chain),
     });
     let end: AttemptEnd;
     try {
@@ -155,44 +162,48 @@
     return end;
   }
 
-  /** Each stall starts one other engine only. */
-  private isFollowable(chain: AttemptChain): boolean {
-    return this.isOther(chain) || (!chain.isSilent && this.isRetryLeft());
+  /** Returns true if a backup is running or may be started for the chain. */
+  private isBackupPossible(chain: AttemptChain): boolean {
+    return (
+      this.isOtherChainOpen(chain) ||
+      (!chain.isStalled && this.isRetryAllowed())
+    );
   }
 
-  /** A stream that cannot be resumed may run only once. */
-  private isRetryLeft(): boolean {
+  /** Returns false for a stream that cannot be resumed: it runs only once. */
+  private isRetryAllowed(): boolean {
     const {isResumable, maxAttempts} = this.request.route;
-    return isResumable && this.sends < maxAttempts;
+    return isResumable && this.sentAttempts < maxAttempts;
   }
 
   /**
-   * Starts another engine for a stalled one, if allowed and in time. Whichever
-   * sends the next event first has the stream.
+   * Starts a backup chain for a stalled one if the retry budget and the
+   * deadline allow it. The chain that delivers the next event first claims the
+   * response.
    */
-  private startFollower(silent: AttemptChain, placed: PlacedPrompt): void {
-    // The stream may have ended in the turn in which the stall shows.
-    if (silent.isClosed || this.isOther(silent)) return;
+  private startBackup(silent: AttemptChain, placed: PlacedPrompt): void {
+    // The stream may end in the same event-loop turn as the stall timer.
+    if (silent.isClosed || this.isOtherChainOpen(silent)) return;
     const {predictedTtftMs} = placed.choice;
     const neededMs = Math.max(MIN_RETRY_LEFT_MS, predictedTtftMs);
     if (this.readLeftMs() < neededMs || !this.claimRetry()) return;
     const {health, readNow} = this.context;
     this.tried.add(placed.target.id);
     health.recordFailure(placed.target.id, readNow(), false);
-    silent.isSilent = true;
-    this.record.addSilence(placed);
+    silent.isStalled = true;
+    this.record.addStall(placed);
     void this.runChain();
   }
 
   /**
-   * Gives the stream to one chain and closes the other; false if the other was
-   * first.
+   * Claims the response for one chain and closes the other; returns false if
+   * the other chain has claimed it already.
    */
-  private claimLead(chain: AttemptChain): boolean {
+  private claimResponse(chain: AttemptChain): boolean {
     if (chain.isClosed) return false;
     for (const other of [...this.chains])
       if (other !== chain) this.close(other);
-    chain.isSilent = false;
+    chain.isStalled = false;
     return true;
   }
 
@@ -214,34 +225,39 @@
       return this.settle('target_failure', placed.target);
     this.recordFailure(chain, placed, end);
     if (chain.isClosed) return;
-    this.markCulprit(placed, end);
+    this.markFaultyTarget(placed, end);
     const isUnsent =
       end.kind === 'no-memory' || (end.kind === 'failed' && !end.error.wasSent);
     if (isUnsent) return this.countUnsent(chain);
     this.mayHaveRun ||= end.kind !== 'not-run';
-    if (this.isOther(chain)) return this.leaveToOther(chain);
+    if (this.isOtherChainOpen(chain)) return this.closeForOther(chain);
     this.claimNextAttempt(chain, end);
   }
 
-  /** Nothing left this host, so the attempt does not count. */
+  /**
+   * Counts an attempt that sent no request and therefore does not count against
+   * the attempt limit; gives up after too many of them.
+   */
   private countUnsent(chain: AttemptChain): void {
-    this.sends--;
-    if (++this.unsentTries >= MAX_UNSENT_TRIES) this.giveUp(chain, 'unsent');
+    this.sentAttempts--;
+    if (++this.unsentAttempts >= MAX_UNSENT_ATTEMPTS)
+      this.giveUp(chain, 'unsent');
   }
 
   private claimNextAttempt(chain: AttemptChain, end: FailedEnd): void {
     const {isResumable, maxAttempts} = this.request.route;
     if (end.kind !== 'not-run' && !isResumable)
       return this.giveUp(chain, 'not_repeatable');
-    if (this.sends >= maxAttempts) return this.giveUp(chain, 'attempts_spent');
+    if (this.sentAttempts >= maxAttempts)
+      return this.giveUp(chain, 'attempts_spent');
     if (!this.claimRetry()) this.giveUp(chain, 'retry_budget_spent');
   }
 
-  /** Records which target failed, so that the next attempt avoids it. */
-  private markCulprit(placed: PlacedPrompt, end: FailedEnd): void {
+  /** Marks the target that failed, so that later attempts avoid it. */
+  private markFaultyTarget(placed: PlacedPrompt, end: FailedEnd): void {
     const {health, readNow} = this.context;
     if (end.kind === 'no-memory') {
-      // A full helper is not unhealthy: only this stream avoids it.
+      // A helper without free KV cache is healthy; only this stream avoids it.
       for (const {target} of placed.choice.reservations) this.tried.add(target);
       return;
     }
@@ -249,58 +265,65 @@
     const helper = placed.helpers.find(
       ({host, port}) => `${host}:${port}` === faulty,
     );
-    const culprit = helper ?? placed.target;
+    const faultyTarget = helper ?? placed.target;
     const isUnsent = end.kind === 'failed' && !end.error.wasSent;
-    this.tried.add(culprit.id);
+    this.tried.add(faultyTarget.id);
     if (end.kind === 'failed' && !end.error.isByTarget) return;
     health.recordFailure(
-      culprit.id,
+      faultyTarget.id,
       readNow(),
       isUnsent || helper !== undefined,
     );
   }
 
-  /** Ends a chain; the last one ends the stream. */
+  /** Ends a chain; refuses the stream if no other chain is running. */
   private giveUp(chain: AttemptChain, why: string): void {
-    if (this.isOther(chain)) return this.leaveToOther(chain);
+    if (this.isOtherChainOpen(chain)) return this.closeForOther(chain);
     this.record.addGivenUp(why, [...this.tried]);
     this.refuse(chain, why === 'no_target' ? 'no_target' : 'not_run', 0);
   }
 
-  /** @param queueMs - Time until engines may have free slots, in ms. */
+  /**
+   * Refuses the stream unless another chain is running.
+   *
+   * @param queueMs - Expected time until an engine has a free slot, in ms.
+   */
   private refuse(
     chain: AttemptChain,
     reason: RefusalReason,
     queueMs: number,
   ): void {
-    if (this.isOther(chain)) return this.leaveToOther(chain);
-    // Only a request that has not run may be called "not run".
+    if (this.isOtherChainOpen(chain)) return this.closeForOther(chain);
+    // A refusal with 503 is allowed only for a request that has not run.
     if (this.progress.hasHead || this.mayHaveRun)
-      return this.endWith(502, 'outcome_unknown');
-    const returnMs = chooseReturnMs(queueMs, this.readLeftMs());
-    this.request.caller.refuse(503, reason, returnMs);
+      return this.endWithError(502, 'outcome_unknown');
+    const retryDelayMs = chooseRetryAfterMs(queueMs, this.readLeftMs());
+    this.request.caller.refuse(503, reason, retryDelayMs);
     this.settle(reason);
   }
 
-  private leaveToOther(chain: AttemptChain): void {
+  private closeForOther(chain: AttemptChain): void {
     this.close(chain);
     const [other] = this.chains;
-    if (other.isSilent && !this.progress.hasHead) void this.checkAlive(other);
+    if (other.isStalled && !this.progress.hasHead) void this.checkAlive(other);
   }
 
   /**
-   * Gives up at once if the remaining engine is dead and the caller has nothing
-   * yet.
+   * Gives up without waiting for the deadline if the stalled engine of the
+   * remaining chain is dead.
    */
   private async checkAlive(chain: AttemptChain): Promise<void> {
     if (chain.placed === undefined) return;
     const report = await this.context.reports.read(chain.placed.target);
-    if (report !== undefined || !chain.isSilent || chain.isClosed) return;
+    if (report !== undefined || !chain.isStalled || chain.isClosed) return;
     this.mayHaveRun = true;
     this.giveUp(chain, 'engine_dead');
   }
 
-  private endWith(status: number, reason: 'timeout' | 'outcome_unknown'): void {
+  private endWithError(
+    status: number,
+    reason: 'timeout' | 'outcome_unknown',
+  ): void {
     if (this.isSettled) return;
     this.request.caller.refuse(status, reason);
     this.settle(reason);
@@ -309,10 +332,10 @@
   private settle(outcome: string, target?: Target): void {
     if (this.isSettled) return;
     this.isSettled = true;
-    clearTimeout(this.expiry);
+    clearTimeout(this.deadlineTimer);
     for (const chain of [...this.chains]) this.close(chain);
     const tried = [...this.tried];
-    this.record.addEnd({outcome, target, tried, sends: this.sends});
+    this.record.addEnd({outcome, target, tried, sends: this.sentAttempts});
   }
 
   private recordFailure(
@@ -324,23 +347,23 @@
       placed,
       fault: findFault(chain, end),
       faultyAddress: end.kind === 'not-run' ? end.faultyAddress : undefined,
-      attempt: this.sends,
+      attempt: this.sentAttempts,
     });
   }
 
-  /** Time until the caller's deadline, in ms. */
+  /** Returns the time until the request's deadline, in ms. */
   private readLeftMs(): number {
     return this.request.expiresAt - this.context.readNow();
   }
 }
 
 function findFault(chain: AttemptChain, end: FailedEnd): AttemptFault {
-  if (chain.isClosed) return chain.isSilent ? 'stalled' : 'overtaken';
+  if (chain.isClosed) return chain.isStalled ? 'stalled' : 'overtaken';
   return end.kind === 'failed' ? end.error.fault : end.kind;
 }
 
 /**
- * Forwards one stream; the caller gets exactly one answer.
+ * Forwards one stream. The caller gets exactly one response.
  *
  * @example
  * forwardStream(context, request, engine);
--- a/packages/direct/src/ingress/ingress.ts
+++ b/packages/direct/src/ingress/ingress.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' side: reads requests, checks route and key, and hands them to
- * the forwarders.
+ * HTTP server for callers: reads requests, checks their routes and API keys,
+ * and passes them to the forwarders.
  */
 import {createServer} from 'node:http';
 import {
@@ -10,35 +10,35 @@
 } from '@nutmeggauge/core';
 import {CallerResponse} from '../forward/caller-response.js';
 import {forwardCall} from '../forward/call-forwarder.js';
-import {chooseReturnMs} from '../forward/retry-after.js';
+import {chooseRetryAfterMs} from '../forward/retry-after.js';
 import {forwardStream} from '../forward/stream-forwarder.js';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {ListenAddress} from '@nutmeggauge/core';
-import type {OwnAnswerReason} from '../forward/caller-response.js';
+import type {GateErrorReason} from '../forward/caller-response.js';
 import type {ForwardContext} from '../forward/context.js';
 import type {GateRequest} from '../forward/request.js';
 import type {RequestFacts, Route} from '../types.js';
 
-/** Deadline of a caller that sends none, in ms. */
+/** Deadline of a request that specifies none, in ms after its arrival. */
 const DEFAULT_DEADLINE_MS = 60_000;
 
-/** Largest request head, in bytes; above it Node answers 431. */
+/** Maximum size of a request head, in bytes; Node.js answers 431 above it. */
 const MAX_HEAD_BYTES = 64 * 1024;
 
-/** Idle timeout before the first configuration, in ms. */
+/** Idle timeout of connections until a configuration is applied, in ms. */
 const DEFAULT_IDLE_MS = 15_000;
 
 /**
- * Age of the facts above which an unknown key or route may be new, in ms: above
- * one long poll of the store and one heartbeat.
+ * Age of the fleet state above which an unknown API key or route may be new, in
+ * ms: longer than one long poll of the store plus one heartbeat.
  */
 const STALE_FACTS_MS = 4000;
 
-/** Retry-After if another gate can serve at once, in ms. */
-const ELSEWHERE_MS = 20;
+/** Retry-After when another gate can serve the request at once, in ms. */
+const OTHER_GATE_RETRY_AFTER_MS = 20;
 
 /**
- * The callers' HTTP server.
+ * HTTP server for callers.
  *
  * @example
  * const ingress = createIngress(context, () => false);
@@ -67,31 +67,34 @@
     });
   }
 
-  /** Requests without a complete answer. */
+  /** Number of requests whose response is not complete. */
   get inFlight(): number {
     return this.open;
   }
 
-  /** Starts listening; resolves with the bound port. */
+  /** Starts to listen; resolves with the bound port. */
   start(address: ListenAddress): Promise<number> {
     return openListener(this.server, address);
   }
 
-  /** Refuses new requests on kept connections as not run. */
+  /**
+   * Refuses new requests, including those on kept-alive connections, with 503
+   * and a short Retry-After, and closes idle connections.
+   */
   async stopTaking(): Promise<void> {
     this.isClosing = true;
     await waitForReading(this.server);
     this.server.closeIdleConnections();
   }
 
-  /** Stops listening, and closes connections without a request. */
+  /** Stops listening and closes idle connections. */
   async closeIdle(): Promise<void> {
     await waitForReading(this.server);
     this.server.close();
     this.server.closeIdleConnections();
   }
 
-  /** Cuts every connection. */
+  /** Stops listening and closes all connections, also those in use. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
@@ -113,7 +116,7 @@
     res.once('close', () => this.open--);
     const caller = new CallerResponse(res, this.isStopping);
     const body = await readBody(req, this.readBodyLimit());
-    if (caller.isGone) return;
+    if (caller.isDisconnected) return;
     if (body === undefined)
       return this.refuseEarly(caller, 413, 'body_too_large');
     this.dispatch(req, body, caller, arrivedAt);
@@ -128,7 +131,13 @@
     const {state, dialect, readNow} = this.context;
     const facts = dialect.parseRequest(req.headers);
     if (this.isClosing)
-      return this.refuseEarly(caller, 503, 'stopping', facts, ELSEWHERE_MS);
+      return this.refuseEarly(
+        caller,
+        503,
+        'stopping',
+        facts,
+        OTHER_GATE_RETRY_AFTER_MS,
+      );
     const config = state.config;
     if (config === undefined)
       return this.refuseEarly(caller, 503, 'no_configuration', facts);
@@ -163,7 +172,7 @@
       arrivedAt,
       expiresAt: arrivedAt + leftMs,
       configVersion: config.version,
-      lastEventId: readOne(req.headers['last-event-id']),
+      lastEventId: readFirstValue(req.headers['last-event-id']),
       caller,
     });
   }
@@ -180,7 +189,8 @@
   }
 
   /**
-   * A gate with stale facts cannot say that a key or a route does not exist.
+   * Refuses a request with an unknown key or route. A gate with stale fleet
+   * state responds with 503, as it cannot know whether the key or route exists.
    */
   private refuseUnknown(
     caller: CallerResponse,
@@ -196,13 +206,13 @@
   private refuseEarly(
     caller: CallerResponse,
     status: number,
-    reason: OwnAnswerReason,
+    reason: GateErrorReason,
     facts?: RequestFacts,
-    returnMs?: number,
+    retryDelayMs?: number,
   ): void {
     const {log, counters, state, readFactsAgeMs} = this.context;
     const leftMs = facts?.deadlineMs ?? DEFAULT_DEADLINE_MS;
-    const waitMs = returnMs ?? chooseReturnMs(0, leftMs);
+    const waitMs = retryDelayMs ?? chooseRetryAfterMs(0, leftMs);
     caller.refuse(status, reason, status === 503 ? waitMs : undefined);
     counters.add(`ingress.${reason}`);
     log.warn('request_refused', {
@@ -215,7 +225,7 @@
   }
 }
 
-/** Reads a body; nothing if it is larger than `limit`. */
+/** Reads a request body; returns undefined if it exceeds `limit` bytes. */
 async function readBody(
   req: IncomingMessage,
   limit: number,
@@ -229,17 +239,22 @@
       parts.push(part);
     }
   } catch {
-    // The caller has left; its response's close event handles it.
+    // The caller disconnected; the close event of the response handles that.
     return Buffer.alloc(0);
   }
   return Buffer.concat(parts);
 }
 
-function readOne(value: string | string[] | undefined): string | undefined {
+function readFirstValue(
+  value: string | string[] | undefined,
+): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
 
-/** Chooses among a route's services by weight; nothing if it has none. */
+/**
+ * Chooses a service of the route by weight; returns undefined if the route has
+ * none.
+ */
 function chooseService(route: Route): string | undefined {
   const total = route.splits.reduce((sum, split) => sum + split.weight, 0);
   let left = Math.random() * total;
@@ -251,7 +266,7 @@
 }
 
 /**
- * Creates the callers' server.
+ * Creates the HTTP server for callers.
  *
  * @example
  * const ingress = createIngress(context, () => isDraining);
