--- a/packages/direct/src/fleet/fact-position.ts
+++ b/packages/direct/src/fleet/fact-position.ts
@@ -1,19 +1,19 @@
 /**
- * Order of the store's facts: its era before its revision. A store that comes
- * back from an older copy gives revisions out again, in a higher era.
+ * Order of the facts in the store: by era, then by revision. A store that was
+ * restored from an older copy reuses revision numbers, but in a higher era.
  */
 
-/** Position of a fact. */
+/** Position of a fact in the history of the store. */
 export interface FactPosition {
   readonly era: number;
   readonly revision: number;
 }
 
-/** Position before the first fact. */
+/** Position that is older than every fact. */
 export const NO_POSITION: FactPosition = {era: 0, revision: 0};
 
 /**
- * Compares two positions: below zero if `a` is the older one.
+ * Compares two positions; returns a negative number if `a` is older than `b`.
  *
  * @example
  * comparePositions({era: 2, revision: 5}, {era: 1, revision: 90}); // 1
@@ -23,7 +23,7 @@
 }
 
 /**
- * Says whether `a` is newer than `b`.
+ * Returns whether `a` is newer than `b`.
  *
  * @example
  * isNewer(target.position, known.position);
@@ -33,7 +33,7 @@
 }
 
 /**
- * Picks the newest of several positions.
+ * Returns the newest of several positions, or `NO_POSITION` if there are none.
  *
  * @example
  * pickNewest([{era: 1, revision: 5}, {era: 1, revision: 7}]).revision; // 7
--- a/packages/direct/src/fleet/fleet-state.test.ts
+++ b/packages/direct/src/fleet/fleet-state.test.ts
@@ -3,7 +3,7 @@
 import {buildPosition, buildTarget} from '../test/build-target.js';
 import {buildConfig} from '../test/gate-world.js';
 import {createFleetState} from './fleet-state.js';
-import {LAPSE_HOLD_MS} from './target-table.js';
+import {HOLD_AFTER_OUTAGE_MS} from './target-table.js';
 import type {Target} from '../types.js';
 
 function listIds(state: ReturnType<typeof createFleetState>): string[] {
@@ -14,8 +14,8 @@
 }
 
 describe('fleet state', () => {
-  it('never goes back to an older configuration', () => {
-    // Guards against a cut-off peer that brings back a revoked key.
+  it('ignores a configuration from a peer that is older than the known one', () => {
+    // Guards against a peer without the store that brings back a revoked key.
     const state = createFleetState(() => 0);
     state.applyChange({kind: 'config', config: buildConfig(7)});
     state.applyShared({
@@ -29,9 +29,9 @@
     expect(state.findAccount('old-key')).toEqual(undefined);
   });
 
-  it('keeps targets whose entries expired during an outage of the store', () => {
-    // Guards against an empty fleet when the store returns after the entries
-    // have expired.
+  it('holds targets whose entries expired during an outage of the store until the hold expires', () => {
+    // Guards against a fleet without targets when the store recovers after the
+    // entries have expired.
     let now = 0;
     const state = createFleetState(() => now);
     state.applySnapshot({
@@ -41,7 +41,7 @@
       malformed: [],
     });
     now = 10_000;
-    state.markStoreBack();
+    state.markStoreRecovered();
     state.applySnapshot({
       position: buildPosition(9),
       config: undefined,
@@ -50,21 +50,21 @@
     });
     expect(listIds(state)).toEqual(['a', 'b']);
     state.applyChange({kind: 'target', target: buildTarget('a', 12)});
-    now += LAPSE_HOLD_MS + 1;
+    now += HOLD_AFTER_OUTAGE_MS + 1;
     state.expireHeld();
     expect(listIds(state)).toEqual(['a']);
   });
 
-  it('drops what another gate saw leave while the store turned this one away', () => {
-    // Guards against holding a target that left while only this gate was cut
-    // off.
+  it('drops a held target once a gate without an outage confirms its removal', () => {
+    // Guards against holding a target that was removed while only this gate
+    // could not reach the store.
     const state = createFleetState(() => 10_000);
     for (const [id, revision] of [
       ['a', 3],
       ['b', 4],
     ] as const)
       state.applyChange({kind: 'target', target: buildTarget(id, revision)});
-    state.markStoreBack(5000);
+    state.markStoreRecovered(5000);
     for (const [name, revision] of [
       ['a', 8],
       ['b', 9],
@@ -82,7 +82,7 @@
     expect(listIds(state)).toEqual(['b']);
   });
 
-  it('drops a target that was leaving, also right after an outage', () => {
+  it('removes a draining target at once when its entry is missing right after an outage', () => {
     // Guards against holding a target that was draining before the outage.
     const state = createFleetState(() => 0);
     state.applySnapshot({
@@ -91,7 +91,7 @@
       targets: [buildTarget('a', 3, true), buildTarget('b', 4)],
       malformed: [],
     });
-    state.markStoreBack();
+    state.markStoreRecovered();
     state.applyChange({
       kind: 'target-gone',
       name: 'a',
@@ -101,7 +101,7 @@
     expect(state.findTarget('a')).toEqual(undefined);
   });
 
-  it('removes a target at once while the store is sound', () => {
+  it('removes a target at once when its entry is removed without an outage', () => {
     const state = createFleetState(() => 100_000);
     state.applyChange({kind: 'target', target: buildTarget('a', 3)});
     state.applyChange({
@@ -113,8 +113,9 @@
     expect(listIds(state)).toEqual([]);
   });
 
-  it('takes newer facts from another gate and leaves older ones', () => {
-    // Guards against a drain that a cut-off gate does not learn from its peers.
+  it('applies newer facts from a peer and ignores older ones', () => {
+    // Guards against a gate without the store that does not learn from its
+    // peers that a target is draining.
     const state = createFleetState(() => 0);
     state.applyChange({kind: 'target', target: buildTarget('a', 3)});
     const shared = {
@@ -134,7 +135,7 @@
     expect(listIds(state)).toEqual([]);
   });
 
-  it('tells a restarted target at the same address apart', () => {
+  it('keeps a target whose predecessor at the same address is removed', () => {
     const state = createFleetState(() => 0);
     state.applyChange({kind: 'target', target: buildTarget('a', 3)});
     state.applyChange({kind: 'target', target: buildTarget('a2', 4)});
@@ -147,12 +148,13 @@
     expect(listIds(state)).toEqual(['a2']);
   });
 
-  it('takes a server that starts again under its name for another one', () => {
-    // Guards against state or a late message of an earlier incarnation.
+  it('replaces a target that restarts under its name and ignores late entries of the earlier incarnation', () => {
+    // Guards against keeping the state of an earlier incarnation, or applying
+    // an entry of it that arrives late.
     const state = createFleetState(() => 0);
     const events: string[] = [];
     state.onChange(({event, id}) => events.push(`${event} ${id}`));
-    const buildLife = (bornAt: number, revision: number): Target => ({
+    const buildIncarnation = (bornAt: number, revision: number): Target => ({
       ...buildTarget('a', revision),
       id: `a@${bornAt}`,
       bornAt,
@@ -160,9 +162,9 @@
     });
     const apply = (target: Target) =>
       state.applyChange({kind: 'target', target});
-    apply(buildLife(1000, 3));
-    apply(buildLife(2000, 5));
-    apply(buildLife(1000, 6));
+    apply(buildIncarnation(1000, 3));
+    apply(buildIncarnation(2000, 5));
+    apply(buildIncarnation(1000, 6));
     expect(state.findTarget('a')?.port).toEqual(2000);
     expect(listIds(state)).toEqual(['a@2000']);
     expect(events).toEqual([
@@ -173,19 +175,19 @@
     state.applyShared({
       position: buildPosition(9),
       config: undefined,
-      targets: [buildLife(1000, 8)],
+      targets: [buildIncarnation(1000, 8)],
       held: [],
       doubts: [],
     });
     expect(listIds(state)).toEqual(['a@2000']);
   });
 
-  it('uses no target whose entry somebody else has overwritten', () => {
+  it('removes a target whose entry is malformed right after an outage', () => {
     // Guards against holding a target whose entry exists but cannot be decoded.
     const state = createFleetState(() => 100);
     state.applyChange({kind: 'target', target: buildTarget('a', 3)});
     state.applyChange({kind: 'target', target: buildTarget('b', 4)});
-    state.markStoreBack();
+    state.markStoreRecovered();
     state.applySnapshot({
       position: buildPosition(9),
       config: undefined,
--- a/packages/direct/src/fleet/fleet-state.ts
+++ b/packages/direct/src/fleet/fleet-state.ts
@@ -1,6 +1,7 @@
 /**
- * Configuration and targets as known to this gate. Neither goes back, whether
- * facts come from the store or from a peer.
+ * Facts that this gate knows: the configuration and the targets. An older
+ * version never replaces a newer one, whether it comes from the store or from a
+ * peer.
  */
 import {
   NO_POSITION,
@@ -23,34 +24,34 @@
 import type {
   FactSource,
   RestoreCounts,
-  SharedDoubt,
+  SharedSuspectEntry,
   TargetEvent,
-  TargetRead,
-  TimedName,
+  TargetSnapshot,
+  ExpiringName,
 } from './target-table.js';
 
-/** Versions of a gate's facts. */
+/** Versions of the facts that a gate knows. */
 export interface FactVersions {
-  /** Version of the configuration, 0 for none. */
+  /** Version of the configuration; 0 if none is known. */
   readonly configVersion: number;
-  /** Position of the targets. */
+  /** Position of the newest target entry. */
   readonly position: FactPosition;
 }
 
-/** Facts that a gate hands to a peer. */
+/** Facts that a gate sends to a peer. */
 export interface SharedFacts {
   readonly position: FactPosition;
-  /** Absent if the peer's is as new. */
+  /** Absent if the peer's configuration is at least as new. */
   readonly config: FleetConfig | undefined;
-  /** Empty if the peer's position is as new. */
+  /** Empty if the peer's position is at least as new. */
   readonly targets: readonly Target[];
-  /** Targets kept without an entry. */
-  readonly held: readonly TimedName[];
-  /** Names whose entries are left out until written again. */
-  readonly doubts: readonly SharedDoubt[];
+  /** Targets that are kept although their entry is missing from the store. */
+  readonly held: readonly ExpiringName[];
+  /** Names whose entries are ignored as suspect until they are written again. */
+  readonly doubts: readonly SharedSuspectEntry[];
 }
 
-/** Called with each change that took effect. */
+/** Called after each change of the known facts. */
 export type FleetListener = (event: FleetEvent) => void;
 
 /** A change of the known facts. */
@@ -61,7 +62,7 @@
   readonly revision: number;
 }
 
-/** A return of the store from an older copy. */
+/** A restore of the store from an older copy. */
 export interface RestoreEvent extends RestoreCounts {
   readonly source: 'store' | 'peer';
   readonly before: FactPosition;
@@ -69,24 +70,24 @@
 }
 
 /**
- * Configuration and targets of this gate.
+ * The configuration and targets that this gate knows.
  *
  * @example
  * const state = createFleetState(() => performance.now());
  * state.applySnapshot(await store.readSnapshot(1000));
  */
 export class FleetState {
-  /** Newest configuration; absent until the first is known. */
+  /** Newest known configuration; absent until the first one is known. */
   config: FleetConfig | undefined;
-  /** Position of the newest fact applied; compared between gates. */
+  /** Position of the newest applied fact; gates compare it with each other. */
   position = NO_POSITION;
-  /** How far this gate itself has read the store. */
+  /** Position up to which this gate itself has read the store. */
   private readPosition = NO_POSITION;
   private routes: RouteTable | undefined;
   private accounts = new Map<string, ClientAccount>();
   private services = new Map<string, ServiceConfig>();
   private readonly table: TargetTable;
-  private lastOutageAt = -Infinity;
+  private latestOutageStartedAt = -Infinity;
   private readonly listeners: FleetListener[] = [];
   private readonly restoreListeners: Array<(event: RestoreEvent) => void> = [];
 
@@ -98,22 +99,22 @@
     });
   }
 
-  /** Registers a listener of changes. */
+  /** Registers a listener for changes of the known facts. */
   onChange(listener: FleetListener): void {
     this.listeners.push(listener);
   }
 
-  /** Registers a listener of returns from an older copy. */
+  /** Registers a listener for restores of the store from an older copy. */
   onRestore(listener: (event: RestoreEvent) => void): void {
     this.restoreListeners.push(listener);
   }
 
-  /** Routes in force; absent until a configuration is known. */
+  /** Routes of the current configuration; absent until one is known. */
   get routeTable(): RouteTable | undefined {
     return this.routes;
   }
 
-  /** True once a configuration and at least one target are known. */
+  /** Whether a configuration and at least one target are known. */
   get isServing(): boolean {
     return this.config !== undefined && this.table.size > 0;
   }
@@ -133,12 +134,12 @@
     return this.table.find(name);
   }
 
-  /** Finds a target by its incarnation. */
+  /** Finds a target by its incarnation id. */
   findIncarnation(id: string): Target | undefined {
     return this.table.list().find(target => target.id === id);
   }
 
-  /** Finds the figures of an engine by its incarnation. */
+  /** Finds the cost model of an engine by its incarnation id. */
   findEngine(id: string): EngineFigures | undefined {
     const service = this.table.findService(id);
     return service === undefined
@@ -146,14 +147,14 @@
       : this.services.get(service)?.engine;
   }
 
-  /** Lists targets of a service that take new work. */
+  /** Lists targets of a service that accept new requests. */
   listUsable(service: string): readonly Target[] {
     return this.table
       .list()
       .filter(target => target.service === service && !target.isDraining);
   }
 
-  /** Lists every target that is an engine. */
+  /** Lists every target whose service is a model engine. */
   listEngines(): readonly Target[] {
     return this.table
       .list()
@@ -165,9 +166,12 @@
     return this.table.size;
   }
 
-  /** Start of the newest outage of the store; -Infinity before the first. */
-  get outageAt(): number {
-    return this.lastOutageAt;
+  /**
+   * Start of the latest outage of the store, on the monotonic clock, in ms;
+   * -Infinity if there was none or its start is unknown.
+   */
+  get outageStartedAt(): number {
+    return this.latestOutageStartedAt;
   }
 
   /** Versions of the known facts. */
@@ -179,15 +183,17 @@
   /**
    * Records that the store answers again after an outage.
    *
-   * @param outageAt - Its last answer before, on the monotonic clock, in ms; if
-   *   unknown, targets that left cannot be told from expired entries.
+   * @param outageStartedAt - Time of the last answer before the outage, on the
+   *   monotonic clock, in ms. If unknown, targets that were removed cannot be
+   *   told from targets whose entry expired.
+   * @default -Infinity
    */
-  markStoreBack(outageAt = -Infinity): void {
-    this.table.markStoreBack();
-    this.lastOutageAt = outageAt;
+  markStoreRecovered(outageStartedAt = -Infinity): void {
+    this.table.markStoreRecovered();
+    this.latestOutageStartedAt = outageStartedAt;
   }
 
-  /** Applies a change from the store's watch. */
+  /** Applies a change reported by the watch of the store. */
   applyChange(change: FactChange): void {
     if (change.kind === 'config') {
       this.applyConfig(change.config, 'store');
@@ -197,11 +203,11 @@
       change.kind === 'target' ? change.target.position : change.position;
     if (position.era < this.position.era) return;
     if (change.kind === 'target') this.table.apply(change.target, 'store');
-    else this.table.applyGone(change.name, position, change.isMalformed);
+    else this.table.applyRemoval(change.name, position, change.isMalformed);
     this.position = pickNewest([this.position, position]);
   }
 
-  /** Applies a full read of the store. */
+  /** Applies a full snapshot of the store. */
   applySnapshot(snapshot: FactSnapshot): void {
     if (snapshot.config !== undefined)
       this.applyConfig(snapshot.config, 'store');
@@ -209,19 +215,19 @@
     const malformed = new Set(snapshot.malformed);
     const known = targets.map(target => target.position);
     const newest = pickNewest([{...position, revision: 0}, ...known]);
-    this.applyRead({targets, position, malformed}, newest, 'store');
+    this.applyTargetSnapshot({targets, position, malformed}, newest, 'store');
     this.markRead(position);
   }
 
-  /** Records that every change up to `position` has been applied. */
+  /** Records that every change of the store up to `position` has been applied. */
   markRead(position: FactPosition): void {
     this.readPosition = pickNewest([this.readPosition, position]);
     this.table.markRead();
   }
 
   /**
-   * Says whether facts at `position` are newer than all that is known here, by
-   * a fact or by reading the store past it.
+   * Returns whether `position` is newer than both the newest applied fact and
+   * the position up to which this gate has read the store.
    */
   isBehind(position: FactPosition): boolean {
     return (
@@ -229,86 +235,92 @@
     );
   }
 
-  /** Applies a peer's facts; older ones change nothing. */
+  /** Applies facts from a peer; ignores those that are not newer. */
   applyShared(shared: SharedFacts): void {
     if (shared.config !== undefined) this.applyConfig(shared.config, 'peer');
     const {targets, position, held, doubts} = shared;
     if (!this.isBehind(position)) return;
-    this.applyRead({targets, position, malformed: new Set()}, position, 'peer');
+    this.applyTargetSnapshot(
+      {targets, position, malformed: new Set()},
+      position,
+      'peer',
+    );
     this.table.addHeld(held, position);
-    this.addDoubts(doubts, targets);
+    this.addSuspectEntries(doubts, targets);
   }
 
   /**
-   * Merges a peer's facts into those of a gate that has just started: the peer
-   * knows what an older copy of the store revives.
+   * Merges facts from a peer into those of a gate that has just started. If the
+   * store was restored from an older copy, the peer knows which of its entries
+   * are outdated.
    */
   mergeShared(shared: SharedFacts): void {
     this.applyShared(shared);
     const {targets, position, held, doubts} = shared;
     if (position.era !== this.position.era) return;
     const heldNames = new Set(held.map(([name]) => name));
-    // The peer may not know yet of targets that have left since.
+    // The peer may still list targets that have been removed meanwhile.
     for (const target of targets)
       if (heldNames.has(target.name) || this.table.find(target.name))
         this.table.apply(target, 'peer');
     this.table.addHeld(held, position);
-    this.addDoubts(doubts, targets);
+    this.addSuspectEntries(doubts, targets);
   }
 
-  /** Describes the facts that are newer than those a peer has. */
+  /** Returns the facts that are newer than those that a peer knows. */
   describeShared(known: FactVersions): SharedFacts {
-    const isConfigNews = (this.config?.version ?? 0) > known.configVersion;
-    const isTargetNews = isNewer(this.position, known.position);
+    const isConfigNewer = (this.config?.version ?? 0) > known.configVersion;
+    const isTargetListNewer = isNewer(this.position, known.position);
     return {
       position: this.position,
-      config: isConfigNews ? this.config : undefined,
-      targets: isTargetNews ? this.table.list() : [],
+      config: isConfigNewer ? this.config : undefined,
+      targets: isTargetListNewer ? this.table.list() : [],
       held: this.table.listHeld(),
-      doubts: this.table.listDoubts(),
+      doubts: this.table.listSuspectEntries(),
     };
   }
 
-  /** Drops held targets whose entry has not come back. */
+  /** Drops held targets whose entry has not been written again in time. */
   expireHeld(): void {
     this.table.expire();
   }
 
   /**
-   * Drops held targets that were missing at `position` for a gate without an
-   * outage: they have left.
+   * Drops held targets whose entry was missing at `position` or earlier. A gate
+   * without an outage of the store has reached `position`, which proves that
+   * these targets were removed and did not just expire.
    */
   confirmRemovals(position: FactPosition): void {
     this.table.confirmRemovals(position);
   }
 
-  private applyRead(
-    read: TargetRead,
+  private applyTargetSnapshot(
+    snapshot: TargetSnapshot,
     newest: FactPosition,
     source: 'store' | 'peer',
   ): void {
     const before = this.position;
-    if (read.position.era < before.era) return;
+    if (snapshot.position.era < before.era) return;
     const isFirst = comparePositions(before, NO_POSITION) === 0;
-    if (read.position.era === before.era || isFirst) {
+    if (snapshot.position.era === before.era || isFirst) {
       this.position = pickNewest([before, newest]);
-      this.table.replace(read, source);
+      this.table.replace(snapshot, source);
       return;
     }
     this.position = newest;
-    const counts = this.table.restore(read, source);
-    // Every gate has lost the store: none can confirm what has left.
-    this.lastOutageAt = -Infinity;
+    const counts = this.table.restore(snapshot, source);
+    // A restore is an outage for every gate, so no peer can confirm removals.
+    this.latestOutageStartedAt = -Infinity;
     const event = {source, before, after: newest, ...counts};
     for (const listener of this.restoreListeners) listener(event);
   }
 
-  private addDoubts(
-    doubts: readonly SharedDoubt[],
+  private addSuspectEntries(
+    doubts: readonly SharedSuspectEntry[],
     targets: readonly Target[],
   ): void {
     const names = new Set(targets.map(({name}) => name));
-    this.table.addDoubts(doubts, this.position.era, names);
+    this.table.addSuspectEntries(doubts, this.position.era, names);
   }
 
   private applyConfig(config: FleetConfig, source: 'store' | 'peer'): void {
@@ -344,7 +356,7 @@
 }
 
 /**
- * Creates an empty state.
+ * Creates a state without any facts.
  *
  * @param readNow - Monotonic clock, in ms.
  * @example
--- a/packages/direct/src/fleet/route-table.ts
+++ b/packages/direct/src/fleet/route-table.ts
@@ -1,8 +1,8 @@
-/** Selection of a route by host and longest path prefix. */
+/** Selects routes by host and longest path prefix. */
 import type {Route} from '../types.js';
 
 /**
- * The routes of one configuration, ready for look-ups.
+ * Routes of one configuration, indexed by host.
  *
  * @example
  * createRouteTable(config.routes).find('shop.example', '/chat/1');
@@ -21,7 +21,7 @@
       list.sort((a, b) => b.prefix.length - a.prefix.length);
   }
 
-  /** Finds the route with the longest prefix; `host` may carry a port. */
+  /** Finds the route with the longest matching prefix; `host` may carry a port. */
   find(host: string, path: string): Route | undefined {
     const name = host.toLowerCase().replace(/:\d+$/, '');
     return this.byHost.get(name)?.find(route => path.startsWith(route.prefix));
@@ -29,7 +29,7 @@
 }
 
 /**
- * Creates a route table.
+ * Creates a route table from the routes of a configuration.
  *
  * @example
  * const table = createRouteTable(config.routes);
--- a/packages/direct/src/fleet/store-watcher.test.ts
+++ b/packages/direct/src/fleet/store-watcher.test.ts
@@ -9,30 +9,32 @@
 import {createFleetState} from './fleet-state.js';
 import {createStoreWatcher} from './store-watcher.js';
 
-describe('store watch', () => {
-  it('reads everything again when the store has dropped its history', async () => {
-    // Guards against changes that are missed when the store drops its history.
-    const world = await openGateWorld();
+describe('store watcher', () => {
+  it('reads a full snapshot again after the store has dropped its history', async () => {
+    // Guards against missing changes that the store has dropped from its
+    // history during an outage.
+    const harness = await openGateWorld();
     try {
-      await world.addTarget('t1', 'orders', answerWhole);
-      await world.waitUntil(async () => (await world.askReady()) === 200);
-      world.store.isDown = true;
-      world.store.publishConfig(
+      await harness.addTarget('t1', 'orders', answerWhole);
+      await harness.waitUntil(async () => (await harness.askReady()) === 200);
+      harness.store.isDown = true;
+      harness.store.publishConfig(
         buildConfig(2, {accounts: [{name: 'acme', keys: ['k2']}]}),
       );
-      world.store.dropHistory();
-      world.store.isDown = false;
-      await world.waitUntil(
-        async () => (await world.call('/safe/x', {key: 'k2'})).status === 200,
+      harness.store.dropHistory();
+      harness.store.isDown = false;
+      await harness.waitUntil(
+        async () => (await harness.call('/safe/x', {key: 'k2'})).status === 200,
       );
-      expect((await world.call('/safe/x', {key: 'k1'})).status).toEqual(401);
+      expect((await harness.call('/safe/x', {key: 'k1'})).status).toEqual(401);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('fetches changes that come close together in one call', async () => {
-    // Guards against one call for each change while many servers are replaced.
+  it('fetches changes that follow each other closely in one batch', async () => {
+    // Guards against one call to the store for each change while many targets
+    // are replaced.
     const store = new FakeStore();
     const output = new Writable({write: (_chunk, _encoding, done) => done()});
     const state = createFleetState(() => performance.now());
@@ -59,36 +61,38 @@
       });
       await new Promise(resolve => setTimeout(resolve, 3));
     }
-    const changedMs = performance.now() - startedAt;
-    const callsWhileChanging = store.calls;
+    const changesTookMs = performance.now() - startedAt;
+    const callsDuringChanges = store.calls;
     while (state.targetCount < 30)
       await new Promise(resolve => setTimeout(resolve, 10));
     watcher.stop();
-    // One read, one watch, and one more after each pause of 300 ms.
-    expect(callsWhileChanging <= 2 + Math.ceil(changedMs / 300)).toEqual(true);
+    // One full read, one watch, and one more watch after each delay of 300 ms.
+    expect(callsDuringChanges <= 2 + Math.ceil(changesTookMs / 300)).toEqual(
+      true,
+    );
   });
 
-  it('serves on what it knows while the store is down', async () => {
-    const world = await openGateWorld();
+  it('lets a gate stay ready and serve known targets while the store is down', async () => {
+    const harness = await openGateWorld();
     try {
-      await world.addTarget('t1', 'orders', answerWhole);
-      await world.waitUntil(async () => (await world.askReady()) === 200);
-      world.store.isDown = true;
-      expect((await world.call('/safe/x')).status).toEqual(200);
-      expect(await world.askReady()).toEqual(200);
+      await harness.addTarget('t1', 'orders', answerWhole);
+      await harness.waitUntil(async () => (await harness.askReady()) === 200);
+      harness.store.isDown = true;
+      expect((await harness.call('/safe/x')).status).toEqual(200);
+      expect(await harness.askReady()).toEqual(200);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('answers 503 before the first configuration, never 401 or 404', async () => {
-    const world = await openGateWorld({config: 'none'});
+  it('makes a gate answer 503 instead of 401 or 404 before the first configuration is known', async () => {
+    const harness = await openGateWorld({config: 'none'});
     try {
-      expect(await world.askReady()).toEqual(503);
-      const answer = await world.call('/safe/x', {key: 'unknown'});
+      expect(await harness.askReady()).toEqual(503);
+      const answer = await harness.call('/safe/x', {key: 'unknown'});
       expect(answer.status).toEqual(503);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 });
--- a/packages/direct/src/fleet/store-watcher.ts
+++ b/packages/direct/src/fleet/store-watcher.ts
@@ -1,6 +1,7 @@
 /**
- * Follows the store: a full read, then a watch from the last position. Lost
- * history leads to another full read, an outage to retries with backoff.
+ * Follows the store with a full read and then a watch from the last position.
+ * Reads the store in full again if its history was lost, and retries with
+ * backoff during an outage.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {HistoryLostError, StoreUnavailableError} from '../errors.js';
@@ -11,34 +12,35 @@
 import type {FleetState} from './fleet-state.js';
 
 /**
- * Long-poll time of one watch, in ms. A silent connection shows only by this
- * timeout, and a target that leaves must be known within 2,000 ms of contact.
+ * Long-poll time of one watch, in ms. Only this timeout detects a dead
+ * connection, and the removal of a target must be known within 2,000 ms once
+ * the store is reachable.
  */
 const WATCH_WAIT_MS = 2500;
 
 /**
- * Pause between changes and the next watch, in ms a gate, and its bound. A
- * change ends the watches of all gates, so the cost of a call grows with their
- * number.
+ * Delay between received changes and the next watch, in ms for each gate, and
+ * its maximum in ms. Each change ends the watches of all gates, so the load on
+ * the store grows with the number of gates.
  */
-const BATCH_MS_PER_GATE = 14;
-const BATCH_MAX_MS = 300;
+const BATCH_DELAY_MS_PER_GATE = 14;
+const BATCH_DELAY_MAX_MS = 300;
 
-/** Time that a watch may take past its long poll, in ms. */
+/** Time that a watch may take beyond its long-poll time, in ms. */
 const WATCH_SLACK_MS = 700;
 
 /** Timeout of one page of a full read, in ms. */
 const SNAPSHOT_TIMEOUT_MS = 1500;
 
-/** Backoff between failed calls, in ms. */
+/** Bounds of the backoff between failed calls, in ms. */
 const BACKOFF_MIN_MS = 100;
 const BACKOFF_MAX_MS = 1000;
 
 /**
- * Time without an answer after which entries may have expired, in ms: below
- * three heartbeats of a target.
+ * Time without an answer after which entries of targets may have expired, in
+ * ms; shorter than three heartbeats of a target.
  */
-const OUTAGE_MS = 1500;
+const OUTAGE_THRESHOLD_MS = 1500;
 
 /** Dependencies of the watcher. */
 export interface StoreWatcherOptions {
@@ -46,12 +48,12 @@
   readonly state: FleetState;
   readonly log: DecisionLog;
   readonly readNow: () => number;
-  /** Gates that watch the same store, this one included. */
+  /** Returns the number of gates that watch the store, including this gate. */
   readonly countGates: () => number;
 }
 
 /**
- * The watcher of one gate.
+ * Keeps the fleet state of one gate up to date with the store.
  *
  * @example
  * const watcher = createStoreWatcher({store, state, log, readNow});
@@ -62,30 +64,34 @@
   private position: FactPosition | undefined;
   private backoffMs = BACKOFF_MIN_MS;
   private isDown = false;
-  private answeredAt: number;
-  /** First answer since the newest outage; absent before the first. */
-  private contactAt: number | undefined;
+  private lastAnswerAt: number;
+  /**
+   * Time of the first answer after the latest outage; absent until the store
+   * has answered once.
+   */
+  private contactSince: number | undefined;
   private contactEra: number | undefined;
 
   constructor(private readonly options: StoreWatcherOptions) {
-    this.answeredAt = options.readNow();
+    this.lastAnswerAt = options.readNow();
   }
 
-  /** Time since the store last answered, in ms. */
+  /** Time since the last answer from the store, in ms. */
   get ageMs(): number {
-    return this.options.readNow() - this.answeredAt;
+    return this.options.readNow() - this.lastAnswerAt;
   }
 
   /**
-   * Time for which the store has answered without an outage, in ms; 0 in one.
+   * Time for which the store has answered without an outage, in ms; 0 during an
+   * outage.
    */
   get contactMs(): number {
-    if (this.contactAt === undefined || this.isDown) return 0;
-    if (this.ageMs > OUTAGE_MS + WATCH_WAIT_MS) return 0;
-    return this.options.readNow() - this.contactAt;
+    if (this.contactSince === undefined || this.isDown) return 0;
+    if (this.ageMs > OUTAGE_THRESHOLD_MS + WATCH_WAIT_MS) return 0;
+    return this.options.readNow() - this.contactSince;
   }
 
-  /** Watches until stopped. */
+  /** Watches the store until `stop` is called. */
   async run(): Promise<void> {
     while (!this.isStopped) {
       try {
@@ -96,7 +102,7 @@
     }
   }
 
-  /** Ends the loop after the call that is under way. */
+  /** Stops watching after the current call. */
   stop(): void {
     this.isStopped = true;
   }
@@ -105,7 +111,7 @@
     const {store, state} = this.options;
     if (this.position === undefined) {
       const snapshot = await store.readSnapshot(SNAPSHOT_TIMEOUT_MS);
-      this.markAnswered(snapshot.position.era);
+      this.recordAnswer(snapshot.position.era);
       state.applySnapshot(snapshot);
       this.position = snapshot.position;
       return;
@@ -115,29 +121,30 @@
       WATCH_WAIT_MS,
       WATCH_WAIT_MS + WATCH_SLACK_MS,
     );
-    this.markAnswered(changes.position.era);
+    this.recordAnswer(changes.position.era);
     for (const change of changes.changes) state.applyChange(change);
     this.position = pickNewest([this.position, changes.position]);
     state.markRead(this.position);
-    if (changes.changes.length > 0) await sleep(this.countBatchMs());
+    if (changes.changes.length > 0) await sleep(this.chooseBatchDelayMs());
   }
 
-  private countBatchMs(): number {
+  private chooseBatchDelayMs(): number {
     const {countGates} = this.options;
-    return Math.min(BATCH_MAX_MS, BATCH_MS_PER_GATE * countGates());
+    return Math.min(BATCH_DELAY_MAX_MS, BATCH_DELAY_MS_PER_GATE * countGates());
   }
 
-  private markAnswered(era: number): void {
+  private recordAnswer(era: number): void {
     const {state, log, readNow} = this.options;
-    const silentMs = readNow() - this.answeredAt;
-    const isBack = silentMs > OUTAGE_MS + WATCH_WAIT_MS || this.isDown;
-    if (isBack) state.markStoreBack(this.answeredAt);
-    // A copy of the store confirms nothing of the time before it.
-    if (isBack || era !== this.contactEra) this.contactAt = readNow();
+    const silentMs = readNow() - this.lastAnswerAt;
+    const isRecovery =
+      silentMs > OUTAGE_THRESHOLD_MS + WATCH_WAIT_MS || this.isDown;
+    if (isRecovery) state.markStoreRecovered(this.lastAnswerAt);
+    // A restored store cannot confirm removals from before the restore.
+    if (isRecovery || era !== this.contactEra) this.contactSince = readNow();
     this.contactEra = era;
     if (this.isDown) log.info('store_regained', {silentMs});
     this.isDown = false;
-    this.answeredAt = readNow();
+    this.lastAnswerAt = readNow();
     this.backoffMs = BACKOFF_MIN_MS;
   }
 
@@ -160,14 +167,14 @@
         ageMs: this.ageMs,
       });
     this.isDown = true;
-    // Jitter spreads the calls of all gates to a store that returns.
+    // Jitter keeps the gates from calling a recovering store all at once.
     await sleep(this.backoffMs * (0.5 + Math.random() / 2));
     this.backoffMs = Math.min(BACKOFF_MAX_MS, this.backoffMs * 2);
   }
 }
 
 /**
- * Creates a watcher; call `run` to start it.
+ * Creates a watcher; `run` starts it.
  *
  * @example
  * const watcher = createStoreWatcher(options);
--- a/packages/direct/src/fleet/target-table.ts
+++ b/packages/direct/src/fleet/target-table.ts
@@ -1,82 +1,86 @@
 /**
- * Targets of the fleet by name, with the entries that are missing or in doubt
- * after an outage of the store or its return from an older copy.
+ * Targets by name. After an outage of the store, targets whose entry is missing
+ * are held for a while. After a restore of the store from an older copy,
+ * entries that contradict earlier knowledge are suspect and ignored for a while.
  */
 import {isNewer} from './fact-position.js';
 import type {Target} from '../types.js';
 import type {FactPosition} from './fact-position.js';
 
 /**
- * How long after the store's return a target is kept without an entry, and an
- * entry that contradicts earlier knowledge is left out, in ms. Live targets
- * register again within two seconds; the rest covers the delay of the watch.
+ * Time after recovery of the store during which a target is kept although its
+ * entry is missing, and a suspect entry is ignored, in ms. Live targets register
+ * again within two seconds; the rest covers the delay of the watch.
  */
-export const LAPSE_HOLD_MS = 2300;
+export const HOLD_AFTER_OUTAGE_MS = 2300;
 
-/** How long an incarnation that has left is remembered, in ms. */
-const REMEMBER_LEFT_MS = 60_000;
+/** Time for which a removed incarnation is remembered, in ms. */
+const REMOVED_RETENTION_MS = 60_000;
 
-/** Where a change came from. */
+/** Source of a change. */
 export type FactSource = 'store' | 'peer' | 'hold_expired';
 
-/** A change of one target. */
+/** Kind of change of one target. */
 export type TargetEvent =
   'target_added' | 'target_changed' | 'target_removed' | 'target_held';
 
-/** A target that is kept without an entry. */
+/** A target that is kept although its entry is missing. */
 interface HeldTarget {
-  /** When it is dropped, unless its entry is back. */
+  /** Time at which the target is dropped unless its entry has been written again. */
   readonly until: number;
-  /** Position at which the entry was missing. */
+  /** Position at which the entry of the target was missing. */
   readonly position: FactPosition;
 }
 
-/** An incarnation that has left. */
-interface LeftTarget {
-  readonly at: number;
-  /** Position at which its entry was missing or replaced. */
+/** A removed incarnation of a target. */
+interface RemovedTarget {
+  readonly removedAt: number;
+  /** Position at which the entry of the incarnation was missing or replaced. */
   readonly position: FactPosition;
 }
 
-/** Entries of one name that are left out until written again. */
-interface Doubt {
+/** Entry of one name that is ignored as suspect until it is written again. */
+interface SuspectEntry {
   readonly until: number;
-  /** Entries up to this position are in doubt. */
+  /** Entries of the name up to this position are suspect. */
   readonly position: FactPosition;
-  /** The newest of them; absent if only a peer has seen it. */
+  /** The newest suspect entry; absent if only a peer has seen it. */
   entry: Target | undefined;
 }
 
 /** All targets at one position. */
-export interface TargetRead {
+export interface TargetSnapshot {
   readonly targets: readonly Target[];
   readonly position: FactPosition;
-  /** Names whose entry exists but cannot be decoded. */
+  /** Names of targets whose entry exists but cannot be decoded. */
   readonly malformed: ReadonlySet<string>;
 }
 
-/** A target without an entry, or a doubt: its name and the time left in ms. */
-export type TimedName = readonly [name: string, leftMs: number];
+/** Name of a held target and the time until it is dropped, in ms. */
+export type ExpiringName = readonly [name: string, leftMs: number];
 
-/** A doubt as gates tell each other: up to which revision, besides. */
-export type SharedDoubt = readonly [
+/**
+ * Suspect entry as gates send it to each other: the name, the time until it is
+ * accepted, in ms, and the revision up to which entries of the name are suspect.
+ */
+export type SharedSuspectEntry = readonly [
   name: string,
   leftMs: number,
   revision: number,
 ];
 
-/** What a return of the store from an older copy meant here. */
+/** Effects of a restore of the store on the targets of this gate. */
 export interface RestoreCounts {
-  /** Targets that the copy lacks. */
+  /** Number of targets that are held because the restored copy lacks them. */
   readonly held: number;
-  /** Entries of the copy that are left out until written again. */
+  /** Number of entries of the restored copy that are ignored as suspect. */
   readonly doubted: number;
 }
 
-/** Dependencies of a table. */
+/** Dependencies of a target table. */
 export interface TargetTableOptions {
   readonly readNow: () => number;
-  /** Called with each change that took effect. */
+  /** Called after each change of a target. */
   readonly onChange: (
     event: TargetEvent,
     target: Target,
@@ -95,10 +99,10 @@
   private readonly targets = new Map<string, Target>();
   private readonly serviceById = new Map<string, string>();
   private readonly held = new Map<string, HeldTarget>();
-  private readonly doubts = new Map<string, Doubt>();
-  private readonly left = new Map<string, LeftTarget>();
-  private storeBackAt = -Infinity;
-  /** When this gate last read the store. */
+  private readonly doubts = new Map<string, SuspectEntry>();
+  private readonly left = new Map<string, RemovedTarget>();
+  private storeRecoveredAt = -Infinity;
+  /** Time of the last read of the store by this gate. */
   private readAt = -Infinity;
 
   constructor(private readonly options: TargetTableOptions) {}
@@ -112,7 +116,7 @@
     return this.targets.get(name);
   }
 
-  /** Finds the service of a target by its incarnation. */
+  /** Finds the service of a target by its incarnation id. */
   findService(id: string): string | undefined {
     return this.serviceById.get(id);
   }
@@ -122,14 +126,14 @@
     return [...this.targets.values()];
   }
 
-  /** Lists targets that are kept without an entry. */
-  listHeld(): readonly TimedName[] {
+  /** Lists targets that are kept although their entry is missing. */
+  listHeld(): readonly ExpiringName[] {
     const now = this.options.readNow();
     return [...this.held].map(([name, {until}]) => [name, until - now]);
   }
 
-  /** Lists names whose entries are in doubt. */
-  listDoubts(): readonly SharedDoubt[] {
+  /** Lists suspect entries in the form that gates send to each other. */
+  listSuspectEntries(): readonly SharedSuspectEntry[] {
     const now = this.options.readNow();
     return [...this.doubts].map(([name, {until, position}]) => [
       name,
@@ -139,20 +143,23 @@
   }
 
   /** Records that the store answers again after an outage. */
-  markStoreBack(): void {
-    this.storeBackAt = this.options.readNow();
+  markStoreRecovered(): void {
+    this.storeRecoveredAt = this.options.readNow();
   }
 
-  /** Records that the store has been read up to now. */
+  /** Records that this gate has read all current changes of the store. */
   markRead(): void {
     this.readAt = this.options.readNow();
   }
 
-  /** Applies an entry, unless a newer one is known. */
+  /**
+   * Applies an entry of a target, unless a newer entry is known or the entry is
+   * suspect.
+   */
   apply(target: Target, source: FactSource): void {
     const known = this.targets.get(target.name);
     if (known !== undefined && isNewer(known.position, target.position)) return;
-    if (known !== undefined && isEarlierLife(target, known)) return;
+    if (known !== undefined && isEarlierIncarnation(target, known)) return;
     const left = this.left.get(target.id);
     if (left !== undefined && !isNewer(target.position, left.position)) return;
     const doubt = this.doubts.get(target.name);
@@ -163,8 +170,12 @@
     this.set(target, source);
   }
 
-  /** Applies a missing entry, unless a newer one is known. */
-  applyGone(name: string, position: FactPosition, isMalformed: boolean): void {
+  /** Applies the removal of an entry, unless a newer entry is known. */
+  applyRemoval(
+    name: string,
+    position: FactPosition,
+    isMalformed: boolean,
+  ): void {
     const doubt = this.doubts.get(name);
     if (doubt !== undefined && isNewer(position, doubt.position))
       this.doubts.delete(name);
@@ -173,13 +184,13 @@
     this.removeOrHold(known, 'store', position, isMalformed);
   }
 
-  /** Applies all targets at a position of the known era. */
-  replace(read: TargetRead, source: 'store' | 'peer'): void {
-    const {targets, position, malformed} = read;
+  /** Applies a snapshot of all targets in the current era. */
+  replace(snapshot: TargetSnapshot, source: 'store' | 'peer'): void {
+    const {targets, position, malformed} = snapshot;
     for (const target of targets) this.apply(target, source);
     const present = new Set(targets.map(({name}) => name));
     for (const known of this.list()) {
-      // An entry newer than the read is not part of it.
+      // An entry that is newer than the snapshot is not part of it.
       if (present.has(known.name) || isNewer(known.position, position))
         continue;
       this.removeOrHold(known, source, position, malformed.has(known.name));
@@ -187,13 +198,13 @@
   }
 
   /**
-   * Applies all targets of a higher era. The store came back from an older
-   * copy: what it lacks is kept, and what contradicts this gate's knowledge is
-   * left out, until written again.
+   * Applies a snapshot of a higher era, which means that the store was restored
+   * from an older copy. Holds targets that the copy lacks, and ignores entries
+   * that contradict the facts known here, until they are written again.
    */
-  restore(read: TargetRead, source: 'store' | 'peer'): RestoreCounts {
-    const {targets, position, malformed} = read;
-    this.markStoreBack();
+  restore(snapshot: TargetSnapshot, source: 'store' | 'peer'): RestoreCounts {
+    const {targets, position, malformed} = snapshot;
+    this.markStoreRecovered();
     this.held.clear();
     this.doubts.clear();
     let doubted = 0;
@@ -202,7 +213,7 @@
         this.apply(target, source);
         continue;
       }
-      this.addDoubt(target, position);
+      this.addSuspectEntry(target, position);
       doubted++;
     }
     const present = new Set(targets.map(({name}) => name));
@@ -212,8 +223,8 @@
     return {held: this.held.size, doubted};
   }
 
-  /** Keeps targets for as long as a peer does. */
-  addHeld(names: readonly TimedName[], position: FactPosition): void {
+  /** Holds targets for as long as a peer holds them. */
+  addHeld(names: readonly ExpiringName[], position: FactPosition): void {
     const now = this.options.readNow();
     for (const [name, leftMs] of names) {
       const known = this.targets.get(name);
@@ -222,11 +233,14 @@
     }
   }
 
-  /** Leaves out what a peer leaves out, and has no other entry for. */
-  addDoubts(
-    shared: readonly SharedDoubt[],
+  /**
+   * Ignores the entries that a peer ignores as suspect. Removes their targets
+   * unless the peer lists them or a newer entry is known here.
+   */
+  addSuspectEntries(
+    shared: readonly SharedSuspectEntry[],
     era: number,
-    peersTargets: ReadonlySet<string>,
+    peerTargetNames: ReadonlySet<string>,
   ): void {
     const now = this.options.readNow();
     for (const [name, leftMs, revision] of shared) {
@@ -234,7 +248,7 @@
       const known = this.targets.get(name);
       const isKept =
         known !== undefined &&
-        (peersTargets.has(name) || isNewer(known.position, position));
+        (peerTargetNames.has(name) || isNewer(known.position, position));
       if (this.doubts.has(name)) continue;
       this.doubts.set(name, {
         until: now + leftMs,
@@ -245,23 +259,24 @@
     }
   }
 
-  /** Drops held targets and doubts whose time is over. */
+  /** Drops expired held targets, and accepts expired suspect entries. */
   expire(): void {
     const now = this.options.readNow();
     this.dropHeld(({until}) => until <= now, 'hold_expired');
     for (const [name, {until, entry}] of [...this.doubts]) {
-      // Only the store's silence about an entry confirms it.
+      // A suspect entry is accepted only after a read of the store past its
+      // expiry brought no other entry.
       if (until > this.readAt) continue;
       this.doubts.delete(name);
       if (entry !== undefined) this.set(entry, 'hold_expired');
     }
-    for (const [id, {at}] of this.left)
-      if (now - at > REMEMBER_LEFT_MS) this.left.delete(id);
+    for (const [id, {removedAt: at}] of this.left)
+      if (now - at > REMOVED_RETENTION_MS) this.left.delete(id);
   }
 
   /**
-   * Drops held targets that were missing at `position` for a gate without an
-   * outage: they have left.
+   * Drops held targets whose entry was missing at `position` or earlier: a gate
+   * without an outage confirms that these targets were removed.
    */
   confirmRemovals(position: FactPosition): void {
     this.dropHeld(held => !isNewer(held.position, position), 'peer');
@@ -279,21 +294,21 @@
     }
   }
 
-  /** Says whether an entry of a copy contradicts what is known already. */
+  /** Returns whether an entry of a restored copy contradicts the known facts. */
   private isContradicted(entry: Target): boolean {
     if (this.left.has(entry.id)) return true;
     const known = this.targets.get(entry.name);
     if (known === undefined) return false;
-    if (isEarlierLife(entry, known)) return true;
+    if (isEarlierIncarnation(entry, known)) return true;
     if (entry.id !== known.id) return false;
     if (known.isDraining && !entry.isDraining) return true;
     const isMoved = entry.host !== known.host || entry.port !== known.port;
     return isMoved && entry.position.revision <= known.position.revision;
   }
 
-  /** Keeps what is known instead of an entry that a copy may have revived. */
-  private addDoubt(entry: Target, position: FactPosition): void {
-    const until = this.storeBackAt + LAPSE_HOLD_MS;
+  /** Records a suspect entry and keeps the known target of the same name. */
+  private addSuspectEntry(entry: Target, position: FactPosition): void {
+    const until = this.storeRecoveredAt + HOLD_AFTER_OUTAGE_MS;
     this.doubts.set(entry.name, {until, position, entry});
     const known = this.targets.get(entry.name);
     if (known !== undefined) this.targets.set(entry.name, {...known, position});
@@ -315,8 +330,11 @@
   }
 
   /**
+   * Removes a target whose entry is missing, or holds it if its entry may have
+   * expired during an outage of the store.
+   *
    * @param position - Position at which the entry is missing.
-   * @param isMalformed - Its entry exists, but names no target.
+   * @param isMalformed - The entry exists but cannot be decoded.
    */
   private removeOrHold(
     target: Target,
@@ -324,17 +342,17 @@
     position: FactPosition,
     isMalformed: boolean,
   ): void {
-    const holdEnd = this.storeBackAt + LAPSE_HOLD_MS;
-    const isLapse =
+    const holdUntil = this.storeRecoveredAt + HOLD_AFTER_OUTAGE_MS;
+    const isPossiblyExpired =
       source === 'store' &&
       !isMalformed &&
       !target.isDraining &&
-      holdEnd > this.options.readNow();
-    if (!isLapse) {
+      holdUntil > this.options.readNow();
+    if (!isPossiblyExpired) {
       this.remove(target, source, position);
       return;
     }
-    this.held.set(target.name, {until: holdEnd, position});
+    this.held.set(target.name, {until: holdUntil, position});
     this.options.onChange('target_held', target, source);
   }
 
@@ -346,13 +364,13 @@
     this.targets.delete(target.name);
     this.serviceById.delete(target.id);
     this.held.delete(target.name);
-    this.left.set(target.id, {at: this.options.readNow(), position});
+    this.left.set(target.id, {removedAt: this.options.readNow(), position});
     this.options.onChange('target_removed', target, source);
   }
 }
 
-/** Says whether an entry is a late message of an earlier incarnation. */
-function isEarlierLife(target: Target, known: Target): boolean {
+/** Returns whether an entry belongs to an earlier incarnation than the known one. */
+function isEarlierIncarnation(target: Target, known: Target): boolean {
   if (target.bornAt === undefined || known.bornAt === undefined) return false;
   return target.bornAt < known.bornAt;
 }
--- a/packages/direct/src/gate.test.ts
+++ b/packages/direct/src/gate.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {buildLoopbackHost} from '@nutmeggauge/core';
-import {LAPSE_HOLD_MS} from './fleet/target-table.js';
+import {HOLD_AFTER_OUTAGE_MS} from './fleet/target-table.js';
 import {answerWhole} from './test/fake-target.js';
 import {buildConfig, openGateWorld} from './test/gate-world.js';
 import type {TargetScript} from './test/fake-target.js';
@@ -11,12 +11,12 @@
 const STOP_NOTICE_MS = 1000;
 
 /** Time for which a suspended process runs nothing, in ms. */
-const FROZEN_MS = 400;
+const FREEZE_MS = 400;
 
 /** Blocks like a suspended process: no reads, no timers. */
 function freezeProcess(): void {
   const lock = new Int32Array(new SharedArrayBuffer(4));
-  Atomics.wait(lock, 0, 0, FROZEN_MS);
+  Atomics.wait(lock, 0, 0, FREEZE_MS);
 }
 
 describe('direct gate', () => {
@@ -91,7 +91,7 @@
           // Behind the round of reading that precedes the timers.
           setTimeout(
             () => setImmediate(writeAndFreeze),
-            STOP_NOTICE_MS - FROZEN_MS / 2,
+            STOP_NOTICE_MS - FREEZE_MS / 2,
           );
         });
         socket.on('error', () => statuses.push('reset'));
@@ -142,14 +142,16 @@
       openGateWorld({host: hosts[0], port}),
       openGateWorld({host: hosts[1], port, seedHosts: [hosts[0]]}),
     ]);
-    const isTold = (event: string) =>
+    const isLogged = (event: string) =>
       two.lines.some(line => line.includes(event) && line.includes('"t"'));
     try {
       // Both stores publish the same changes.
       const leaving = await one.addTarget('t', 'orders', answerWhole);
       two.store.publishTarget(leaving.entry);
       // Waits until no target could be held from an earlier outage.
-      await new Promise(resolve => setTimeout(resolve, LAPSE_HOLD_MS + 100));
+      await new Promise(resolve =>
+        setTimeout(resolve, HOLD_AFTER_OUTAGE_MS + 100),
+      );
       const staying = await two.addTarget('t2', 'orders', answerWhole);
       one.store.publishTarget(staying.entry);
       await two.waitUntil(
@@ -162,9 +164,9 @@
       );
       two.store.isDown = false;
       two.store.dropTarget('t');
-      await two.waitUntil(() => isTold('"target_held"'));
+      await two.waitUntil(() => isLogged('"target_held"'));
       one.store.dropTarget('t');
-      await two.waitUntil(() => isTold('"target_removed"'));
+      await two.waitUntil(() => isLogged('"target_removed"'));
       expect(two.lines.some(line => line.includes('"hold_expired"'))).toEqual(
         false,
       );
--- a/packages/direct/src/gate.ts
+++ b/packages/direct/src/gate.ts
@@ -28,7 +28,7 @@
 import type {ForwardContext} from './forward/context.js';
 import type {Ingress} from './ingress/ingress.js';
 import type {DecisionLog} from './observe/decision-log.js';
-import type {MetricFigures} from './observe/metrics-text.js';
+import type {MetricValues} from './observe/metrics-text.js';
 import type {
   EngineReports,
   FactStore,
@@ -71,7 +71,7 @@
 }
 
 /** What an adapter provides. */
-export interface DirectGateParts {
+export interface DirectGateDependencies {
   readonly dialect: HeaderDialect;
   readonly store: FactStore;
   readonly reservations: KvReservations;
@@ -83,7 +83,7 @@
  * One direct gate.
  *
  * @example
- * const gate = createDirectGate(settings, parts);
+ * const gate = createDirectGate(settings, dependencies);
  * await gate.start();
  */
 export class DirectGate {
@@ -103,19 +103,19 @@
 
   constructor(
     private readonly settings: DirectGateSettings,
-    private readonly parts: DirectGateParts,
+    private readonly dependencies: DirectGateDependencies,
   ) {
     const {state, readNow, health, tracker} = this;
-    const {log} = parts;
+    const {log} = dependencies;
     this.watcher = createStoreWatcher({
-      store: parts.store,
+      store: dependencies.store,
       state,
       log,
       readNow,
       countGates: () => this.peers.countGates(),
     });
     this.slowdowns = new EngineSlowdowns({
-      reports: parts.reports,
+      reports: dependencies.reports,
       // Reports have a cost: without open streams no engine is polled.
       listEngines: () => (tracker.isEmpty ? [] : state.listEngines()),
       isMine: ({id}) =>
@@ -139,7 +139,7 @@
       readContactMs: () => this.watcher.contactMs,
     });
     this.context = {
-      dialect: parts.dialect,
+      dialect: dependencies.dialect,
       state,
       health,
       budget: createSharedRetryBudget(settings.retryBounds, () =>
@@ -164,8 +164,8 @@
         }),
       ),
       exchanges: new OpenExchanges(),
-      reservations: parts.reservations,
-      reports: parts.reports,
+      reservations: dependencies.reservations,
+      reports: dependencies.reports,
       log,
       counters: this.counters,
       ttftMs: createLatencyHistogram(),
@@ -180,20 +180,20 @@
 
   /** Opens all listeners and starts following the store. */
   async start(): Promise<void> {
-    const {settings, parts} = this;
+    const {settings, dependencies} = this;
     void this.watcher.run();
     await this.peers.start();
     this.slowdowns.start();
     await this.status.openReady(
       settings.ready,
-      parts.dialect.readyPath,
+      dependencies.dialect.readyPath,
       () => this.isReady,
     );
     if (settings.metrics !== undefined)
-      await this.status.openMetrics(settings.metrics, () => this.readFigures());
+      await this.status.openMetrics(settings.metrics, () => this.readMetrics());
     await this.ingress.start(settings.ingress);
     this.sweep = setInterval(() => this.state.expireHeld(), SWEEP_MS);
-    parts.log.info('gate_started', {
+    dependencies.log.info('gate_started', {
       zone: settings.zone,
       seeds: settings.seedHosts,
     });
@@ -202,7 +202,9 @@
   /** Applies settings that changed at run time. */
   reload(settings: Pick<DirectGateSettings, 'seedHosts'>): void {
     this.peers.setSeeds(settings.seedHosts);
-    this.parts.log.info('settings_reloaded', {seeds: settings.seedHosts});
+    this.dependencies.log.info('settings_reloaded', {
+      seeds: settings.seedHosts,
+    });
   }
 
   /**
@@ -219,7 +221,7 @@
   }
 
   private async runDrain(): Promise<void> {
-    const {log} = this.parts;
+    const {log} = this.dependencies;
     log.info('drain_started', {inFlight: this.ingress.inFlight});
     const startedAt = this.readNow();
     const giveUpAt = startedAt + this.settings.stopGraceMs - DRAIN_RESERVE_MS;
@@ -253,7 +255,7 @@
     return this.peers.isSynchronized;
   }
 
-  private readFigures(): MetricFigures {
+  private readMetrics(): MetricValues {
     return {
       counters: this.counters.read(),
       latencies: {
@@ -285,7 +287,7 @@
 
   private observeChanges(): void {
     this.state.onRestore(({source, before, after, held, doubted}) =>
-      this.parts.log.warn('store_restored', {
+      this.dependencies.log.warn('store_restored', {
         source,
         era: after.era,
         revision: after.revision,
@@ -299,7 +301,7 @@
     this.state.onChange(event => {
       if (event.event === 'target_removed') this.health.drop(event.id);
       if (event.event === 'target_added') this.handleNewTarget(event.id);
-      this.parts.log.info(event.event, {
+      this.dependencies.log.info(event.event, {
         id: event.id,
         source: event.source,
         revision: event.revision,
@@ -313,11 +315,11 @@
  * Creates a direct gate.
  *
  * @example
- * const gate = createDirectGate(settings, parts);
+ * const gate = createDirectGate(settings, dependencies);
  */
 export function createDirectGate(
   settings: DirectGateSettings,
-  parts: DirectGateParts,
+  dependencies: DirectGateDependencies,
 ): DirectGate {
-  return new DirectGate(settings, parts);
+  return new DirectGate(settings, dependencies);
 }
--- a/packages/direct/src/observe/metrics-text.ts
+++ b/packages/direct/src/observe/metrics-text.ts
@@ -4,7 +4,7 @@
 const PREFIX = 'nutmeggauge_';
 
 /** Figures of one process. */
-export interface MetricFigures {
+export interface MetricValues {
   readonly counters: Readonly<Record<string, number>>;
   readonly gauges: Readonly<Record<string, number>>;
   readonly latencies: Readonly<Record<string, LatencySummary>>;
@@ -21,13 +21,13 @@
  * @example
  * renderMetrics({counters: {'call.answered': 3}, gauges: {}, latencies: {}});
  */
-export function renderMetrics(figures: MetricFigures): string {
+export function renderMetrics(values: MetricValues): string {
   const lines: string[] = [];
-  for (const [name, value] of Object.entries(figures.counters))
+  for (const [name, value] of Object.entries(values.counters))
     lines.push(`${toMetricName(name)}_total ${value}`);
-  for (const [name, value] of Object.entries(figures.gauges))
+  for (const [name, value] of Object.entries(values.gauges))
     lines.push(`${toMetricName(name)} ${value}`);
-  for (const [name, latency] of Object.entries(figures.latencies)) {
+  for (const [name, latency] of Object.entries(values.latencies)) {
     const metric = `${toMetricName(name)}_ms`;
     lines.push(`${metric}{quantile="0.5"} ${latency.p50}`);
     lines.push(`${metric}{quantile="0.95"} ${latency.p95}`);
--- a/packages/direct/src/observe/status-server.ts
+++ b/packages/direct/src/observe/status-server.ts
@@ -4,7 +4,7 @@
 import {renderMetrics} from './metrics-text.js';
 import type {Server} from 'node:http';
 import type {ListenAddress} from '@nutmeggauge/core';
-import type {MetricFigures} from './metrics-text.js';
+import type {MetricValues} from './metrics-text.js';
 
 /**
  * The listeners that tell of one gate's state.
@@ -34,11 +34,11 @@
   /** Answers every path with the metrics. */
   async openMetrics(
     address: ListenAddress,
-    readFigures: () => MetricFigures,
+    readMetrics: () => MetricValues,
   ): Promise<void> {
     const server = createServer((_, res) => {
       res.writeHead(200, {'Content-Type': 'text/plain; version=0.0.4'});
-      res.end(renderMetrics(readFigures()));
+      res.end(renderMetrics(readMetrics()));
     });
     this.servers.push(server);
     await openListener(server, address);
--- a/packages/direct/src/peers/facts-exchange.test.ts
+++ b/packages/direct/src/peers/facts-exchange.test.ts
@@ -15,10 +15,10 @@
 const ROUTE_COUNT = 30_000;
 
 /** Peers that ask at once. */
-const CLIENTS = 6;
+const CLIENT_COUNT = 6;
 
 /** Peers that are sent a configuration at the same time. */
-const MOST_AT_ONCE = 2;
+const MAX_CONCURRENT_TRANSFERS = 2;
 
 /** Longer than any test, in ms: clients pause on purpose. */
 const TEST_IDLE_MS = 60_000;
@@ -72,7 +72,7 @@
     return chunk;
   }
 
-  async function askWhole(known: object): Promise<SharedFacts> {
+  async function askForFacts(known: object): Promise<SharedFacts> {
     let text = await askAndPause(known);
     const socket = sockets[sockets.length - 1];
     socket.on('data', (chunk: string) => (text += chunk));
@@ -82,7 +82,7 @@
   }
 
   /** Waits until the gate has seen `count` connections close. */
-  async function waitForCuts(count: number): Promise<void> {
+  async function waitForResets(count: number): Promise<void> {
     let log = '';
     for (;;) {
       log += String(output.read() ?? '');
@@ -97,29 +97,29 @@
     const unhandled: string[] = [];
     const record = ({message}: Error) => unhandled.push(message);
     process.on('uncaughtException', record);
-    for (let i = 0; i < MOST_AT_ONCE; i++) await askAndPause({});
+    for (let i = 0; i < MAX_CONCURRENT_TRANSFERS; i++) await askAndPause({});
     for (const socket of sockets) socket.resetAndDestroy();
-    await waitForCuts(MOST_AT_ONCE);
+    await waitForResets(MAX_CONCURRENT_TRANSFERS);
     process.off('uncaughtException', record);
     expect(unhandled).toEqual([]);
-    expect((await askWhole({})).config?.version).toEqual(7);
+    expect((await askForFacts({})).config?.version).toEqual(7);
   });
 
   it('serves two at a time and sends the others elsewhere', async () => {
     // Guards against a gate whose link is filled by copies for all peers at
     // once.
     const answers: string[] = [];
-    for (let i = 0; i < CLIENTS; i++) answers.push(await askAndPause({}));
+    for (let i = 0; i < CLIENT_COUNT; i++) answers.push(await askAndPause({}));
     const served = answers.filter(answer => answer.includes('"result"'));
     const refused = answers.filter(answer => answer.includes('"error"'));
-    expect(served.length).toEqual(MOST_AT_ONCE);
-    expect(refused.length).toEqual(CLIENTS - MOST_AT_ONCE);
+    expect(served.length).toEqual(MAX_CONCURRENT_TRANSFERS);
+    expect(refused.length).toEqual(CLIENT_COUNT - MAX_CONCURRENT_TRANSFERS);
   });
 
   it('serves the next one when one has what it asked for', async () => {
     // Guards against connections that are counted after they have closed.
-    for (let i = 0; i < CLIENTS; i++) {
-      expect((await askWhole({})).config?.version).toEqual(7);
+    for (let i = 0; i < CLIENT_COUNT; i++) {
+      expect((await askForFacts({})).config?.version).toEqual(7);
       sockets[i].destroy();
       await once(sockets[i], 'close');
     }
@@ -127,18 +127,18 @@
 
   it('releases the slot of a client that closed before its answer', async () => {
     // Guards against a link that closes while its answer is being made.
-    for (let i = 0; i < MOST_AT_ONCE; i++) {
+    for (let i = 0; i < MAX_CONCURRENT_TRANSFERS; i++) {
       const socket = await openClient();
       socket.write('{"jsonrpc":"2.0","id":1,"method":"read-facts"}\n{{\n');
       socket.resume();
       await once(socket, 'close');
     }
-    expect((await askWhole({})).config?.version).toEqual(7);
+    expect((await askForFacts({})).config?.version).toEqual(7);
   });
 
   it('leaves out the configuration that the peer has', async () => {
     // Guards against a whole configuration for a peer that lacks one target.
-    const facts = await askWhole({configVersion: 7, position: NO_POSITION});
+    const facts = await askForFacts({configVersion: 7, position: NO_POSITION});
     expect(facts.config === undefined).toEqual(true);
   });
 });
--- a/packages/direct/src/peers/facts-exchange.ts
+++ b/packages/direct/src/peers/facts-exchange.ts
@@ -29,22 +29,22 @@
  * Idle timeout of an exchange, in ms: above one retransmission. Its total time
  * depends on the size of the configuration and on the link.
  */
-const IDLE_MS = 1000;
+const IDLE_TIMEOUT_MS = 1000;
 
 /** Longest exchange before another gate is asked, in ms. */
-const FETCH_MAX_MS = 5000;
+const FETCH_TIMEOUT_MS = 5000;
 
 /** Method that returns facts. */
 const READ_FACTS = 'read-facts';
 
 /** Error code of a gate that serves as many peers as it can. */
-const BUSY = 1;
+const BUSY_CODE = 1;
 
 /**
  * Peers that are sent a configuration at the same time: more copies would fill
  * a slow link, and each peer that has one hands it on.
  */
-const MOST_AT_ONCE = 2;
+const MAX_CONCURRENT_TRANSFERS = 2;
 
 /** Dependencies of the server. */
 export interface FactsServerOptions {
@@ -69,11 +69,11 @@
 export async function openFactsServer(
   options: FactsServerOptions,
 ): Promise<Server> {
-  const {address, state, idleMs = IDLE_MS} = options;
-  const served = new Set<Socket>();
+  const {address, state, idleMs = IDLE_TIMEOUT_MS} = options;
+  const transfers = new Set<Socket>();
   const server = createServer(connection => {
-    observeHandOver(connection, options);
-    connection.on('close', () => served.delete(connection));
+    observeTransfer(connection, options);
+    connection.on('close', () => transfers.delete(connection));
     const link = createRpcLink(connection);
     link.closeWhenIdle(idleMs);
     link.handle(READ_FACTS, params => {
@@ -81,13 +81,13 @@
       const facts = state.describeShared(known);
       // The list of targets is small, so it needs no slot.
       if (facts.config === undefined) return facts;
-      if (served.size < MOST_AT_ONCE) {
-        served.add(connection);
+      if (transfers.size < MAX_CONCURRENT_TRANSFERS) {
+        transfers.add(connection);
         return facts;
       }
       if (isNewer(facts.position, known.position))
         return {...facts, config: undefined};
-      throw createRpcRefusal(BUSY, 'busy');
+      throw createRpcRefusal(BUSY_CODE, 'busy');
     });
   });
   await openListener(server, address);
@@ -95,7 +95,7 @@
 }
 
 /** Logs the peer, the bytes queued for it, and whether it closed early. */
-function observeHandOver(
+function observeTransfer(
   connection: Socket,
   {log, readNow}: FactsServerOptions,
 ): void {
@@ -125,7 +125,7 @@
   known: FactVersions,
 ): Promise<SharedFacts> {
   const link = await openRpcLink(address, undefined, CONNECT_TIMEOUT_MS);
-  link.closeWhenIdle(IDLE_MS);
+  link.closeWhenIdle(IDLE_TIMEOUT_MS);
   try {
     return decodeSharedFacts(await callForFacts(link, address, known));
   } finally {
@@ -139,9 +139,9 @@
   known: FactVersions,
 ): Promise<unknown> {
   try {
-    return await link.call(READ_FACTS, known, FETCH_MAX_MS);
+    return await link.call(READ_FACTS, known, FETCH_TIMEOUT_MS);
   } catch (error) {
-    if (findRefusalCode(error) === BUSY)
+    if (findRefusalCode(error) === BUSY_CODE)
       throw new FactsBusyError(
         `gate ${address} serves as many gates as it can`,
         error as Error,
--- a/packages/direct/src/peers/facts-fetcher.test.ts
+++ b/packages/direct/src/peers/facts-fetcher.test.ts
@@ -11,19 +11,19 @@
 import type {SharedFacts} from '../fleet/fleet-state.js';
 
 /** Time in which a configuration must be in force at all gates, in ms. */
-const APPLY_MS = 2000;
+const PROPAGATION_LIMIT_MS = 2000;
 
 /** Delay of the heartbeat that announces news, in ms. */
-const NEWS_MS = 100;
+const ANNOUNCEMENT_DELAY_MS = 100;
 
 /** Peers that one gate serves at a time. */
-const MOST_AT_ONCE = 2;
+const MAX_CONCURRENT_TRANSFERS = 2;
 
 /** Gates of a large deployment. */
-const MOST_GATES = 30;
+const MAX_GATES = 30;
 
 /** Time of one copy over a fast link, in ms. */
-const MOST_COPY_MS = 60;
+const MAX_TRANSFER_MS = 60;
 
 /** Seeded uniform numbers in [0, 1). */
 function createRandom(seed: number): () => number {
@@ -72,7 +72,7 @@
 }
 
 /** A fetcher whose answers are scripted by host. */
-function createWorld(
+function createHarness(
   answers: Readonly<Record<string, () => Promise<SharedFacts>>>,
   random: () => number = () => 0,
   isStoreSilent = false,
@@ -84,7 +84,7 @@
   const fetcher = createFactsFetcher({
     isStoreSilent: () => isStoreSilent,
     state,
-    listAhead: () =>
+    listUpdateSources: () =>
       (state.config?.version ?? 0) < 7 ? Object.keys(answers) : [],
     fetch: host => {
       asked.push(host);
@@ -105,14 +105,14 @@
   targets: [],
   held: [],
 };
-const giveFacts = () => Promise.resolve(FACTS);
-const refuse = () => Promise.reject(new FactsBusyError('busy'));
-const dropAsk = () => Promise.reject(new StoreUnavailableError('gone'));
+const sendFacts = () => Promise.resolve(FACTS);
+const refuseBusy = () => Promise.reject(new FactsBusyError('busy'));
+const dropRequest = () => Promise.reject(new StoreUnavailableError('gone'));
 
 describe('fetching facts from other gates', () => {
   it('leaves it to the store while that is only slow', async () => {
     // Guards against copies that the store's own answer makes useless.
-    const {clock, state, asked, fetcher} = createWorld({a: giveFacts});
+    const {clock, state, asked, fetcher} = createHarness({a: sendFacts});
     fetcher.schedule();
     state.applyChange({kind: 'config', config: buildConfig(7)});
     await clock.run(() => false);
@@ -122,7 +122,7 @@
   it('asks at once while the store does not answer it', async () => {
     // Guards against a gate that hears of a removal too late because it waits
     // for a silent store.
-    const world = createWorld({a: giveFacts}, () => 0.99, true);
+    const world = createHarness({a: sendFacts}, () => 0.99, true);
     world.fetcher.schedule();
     await world.clock.run(() => false);
     expect(world.asked).toEqual(['a']);
@@ -133,8 +133,8 @@
     // Guards against gates that all ask the same peer.
     const asked = new Set<string>();
     for (const part of [0, 0.4, 0.9]) {
-      const world = createWorld(
-        {a: giveFacts, b: giveFacts, c: giveFacts},
+      const world = createHarness(
+        {a: sendFacts, b: sendFacts, c: sendFacts},
         () => part,
       );
       world.fetcher.schedule();
@@ -146,8 +146,8 @@
 
   it('asks again after a gate that serves others', async () => {
     let refusals = 2;
-    const {clock, state, asked, fetcher} = createWorld({
-      a: () => (refusals-- > 0 ? refuse() : giveFacts()),
+    const {clock, state, asked, fetcher} = createHarness({
+      a: () => (refusals-- > 0 ? refuseBusy() : sendFacts()),
     });
     fetcher.schedule();
     await clock.run(() => false);
@@ -157,9 +157,9 @@
 
   it('goes on to another gate when one is gone', async () => {
     // Guards against a peer that loses power after its last heartbeat.
-    const {clock, state, asked, lines, fetcher} = createWorld({
-      a: dropAsk,
-      b: giveFacts,
+    const {clock, state, asked, lines, fetcher} = createHarness({
+      a: dropRequest,
+      b: sendFacts,
     });
     fetcher.schedule();
     await clock.run(() => false);
@@ -171,7 +171,7 @@
   });
 
   it('ends when nobody gives anything, and starts anew when told', async () => {
-    const {clock, asked, fetcher} = createWorld({a: refuse});
+    const {clock, asked, fetcher} = createHarness({a: refuseBusy});
     fetcher.schedule();
     fetcher.schedule();
     await clock.run(() => false);
@@ -183,61 +183,62 @@
 });
 
 /** A fleet in which one gate has news, in virtual time. */
-class NewsFleet {
+class PropagationFleet {
   readonly clock = new VirtualClock();
   /** Copies that each gate has sent. */
-  readonly copies = new Map<string, number>();
-  private readonly knownSince = new Map<string, number>([['0', 0]]);
-  private readonly serving = new Map<string, number>();
+  readonly transferCounts = new Map<string, number>();
+  private readonly configKnownAt = new Map<string, number>([['0', 0]]);
+  private readonly activeTransfers = new Map<string, number>();
 
-  /** @param copyMs - Time of one copy over an idle link. */
+  /** @param transferMs - Time of one copy over an idle link. */
   constructor(
     private readonly count: number,
-    private readonly copyMs: number,
+    private readonly transferMs: number,
     private readonly random: () => number,
   ) {}
 
   /** Runs until every gate has the news; returns the time taken, in ms. */
   async run(): Promise<number> {
     for (let i = 1; i < this.count; i++) void this.runGate(String(i));
-    await this.clock.run(() => this.knownSince.size === this.count);
+    await this.clock.run(() => this.configKnownAt.size === this.count);
     return this.clock.now;
   }
 
   private async runGate(name: string): Promise<void> {
     const {clock, random} = this;
     const state = createFleetState(() => clock.now);
-    state.onChange(() => this.knownSince.set(name, clock.now));
+    state.onChange(() => this.configKnownAt.set(name, clock.now));
     const fetcher = createFactsFetcher({
       isStoreSilent: () => false,
       state,
-      listAhead: () => (state.config === undefined ? this.listHeard() : []),
-      fetch: host => this.serveCopy(host),
+      listUpdateSources: () =>
+        state.config === undefined ? this.listAnnouncedGates() : [],
+      fetch: host => this.serveTransfer(host),
       log: createLog(),
       readNow: () => clock.now,
       random,
       wait: clock.wait,
     });
     while (state.config === undefined) {
-      await clock.wait(NEWS_MS);
+      await clock.wait(ANNOUNCEMENT_DELAY_MS);
       fetcher.schedule();
     }
   }
 
-  private listHeard(): readonly string[] {
-    return [...this.knownSince]
-      .filter(([, since]) => this.clock.now >= since + NEWS_MS)
+  private listAnnouncedGates(): readonly string[] {
+    return [...this.configKnownAt]
+      .filter(([, since]) => this.clock.now >= since + ANNOUNCEMENT_DELAY_MS)
       .map(([host]) => host);
   }
 
-  private async serveCopy(host: string): Promise<SharedFacts> {
-    const busy = this.serving.get(host) ?? 0;
-    if (busy >= MOST_AT_ONCE) throw new FactsBusyError('busy');
-    this.serving.set(host, busy + 1);
-    this.copies.set(host, (this.copies.get(host) ?? 0) + 1);
+  private async serveTransfer(host: string): Promise<SharedFacts> {
+    const busy = this.activeTransfers.get(host) ?? 0;
+    if (busy >= MAX_CONCURRENT_TRANSFERS) throw new FactsBusyError('busy');
+    this.activeTransfers.set(host, busy + 1);
+    this.transferCounts.set(host, (this.transferCounts.get(host) ?? 0) + 1);
     // Concurrent copies share the link.
-    await this.clock.wait(this.copyMs * (busy + 1));
-    this.serving.set(host, (this.serving.get(host) ?? 0) - 1);
+    await this.clock.wait(this.transferMs * (busy + 1));
+    this.activeTransfers.set(host, (this.activeTransfers.get(host) ?? 0) - 1);
     return FACTS;
   }
 }
@@ -248,15 +249,15 @@
     // configuration.
     await fc.assert(
       fc.asyncProperty(
-        fc.integer({min: 2, max: MOST_GATES}),
-        fc.integer({min: 5, max: MOST_COPY_MS}),
+        fc.integer({min: 2, max: MAX_GATES}),
+        fc.integer({min: 5, max: MAX_TRANSFER_MS}),
         fc.integer({min: 1}),
         async (count, copyMs, seed) => {
-          const fleet = new NewsFleet(count, copyMs, createRandom(seed));
+          const fleet = new PropagationFleet(count, copyMs, createRandom(seed));
           const tookMs = await fleet.run();
-          const copies = [...fleet.copies.values()];
+          const copies = [...fleet.transferCounts.values()];
           expect(copies.reduce((sum, n) => sum + n, 0)).toEqual(count - 1);
-          expect(tookMs).toBeLessThanOrEqual(APPLY_MS);
+          expect(tookMs).toBeLessThanOrEqual(PROPAGATION_LIMIT_MS);
         },
       ),
       {numRuns: 60, seed: 21},
--- a/packages/direct/src/peers/facts-fetcher.ts
+++ b/packages/direct/src/peers/facts-fetcher.ts
@@ -3,7 +3,7 @@
  * gate.
  */
 import {DecodeError, FactsBusyError} from '../errors.js';
-import {waitIdly} from './wait-idly.js';
+import {waitUnref} from './wait-idly.js';
 import type {
   FleetState,
   SharedFacts,
@@ -15,20 +15,20 @@
  * How long a peer may be ahead before it is asked, in ms: the watch of this
  * gate usually delivers first.
  */
-const AHEAD_MS = 400;
+const FETCH_DELAY_MS = 400;
 
 /** Jitter added to it, in ms, so that gates do not ask at the same moment. */
-const AHEAD_SPREAD_MS = 400;
+const FETCH_JITTER_MS = 400;
 
 /** Jitter while the store does not answer this gate, in ms. */
-const UNHEARD_SPREAD_MS = 150;
+const STORE_SILENT_JITTER_MS = 150;
 
 /** Pause after a busy answer, in ms, and its jitter. */
-const RETRY_MS = 100;
-const RETRY_SPREAD_MS = 150;
+const RETRY_DELAY_MS = 100;
+const RETRY_JITTER_MS = 150;
 
 /** Most requests in a row; a later heartbeat starts again. */
-const MOST_ASKS = 10;
+const MAX_REQUESTS = 10;
 
 /** Dependencies of the fetcher. */
 export interface FactsFetcherOptions {
@@ -36,7 +36,7 @@
   /** True while the store has not answered this gate for too long. */
   readonly isStoreSilent: () => boolean;
   /** Hosts of live peers with newer facts. */
-  readonly listAhead: () => readonly string[];
+  readonly listUpdateSources: () => readonly string[];
   readonly fetch: (host: string, known: FactVersions) => Promise<SharedFacts>;
   readonly log: DecisionLog;
   readonly readNow: () => number;
@@ -54,36 +54,36 @@
  * fetcher.schedule();
  */
 export class FactsFetcher {
-  private isUnderWay = false;
+  private isRunning = false;
 
   constructor(private readonly options: FactsFetcherOptions) {}
 
   /** Schedules a fetch, unless the store is faster. */
   schedule(): void {
-    if (this.isUnderWay) return;
-    this.isUnderWay = true;
-    void this.run().finally(() => (this.isUnderWay = false));
+    if (this.isRunning) return;
+    this.isRunning = true;
+    void this.run().finally(() => (this.isRunning = false));
   }
 
   private async run(): Promise<void> {
-    const {listAhead, isStoreSilent} = this.options;
-    if (isStoreSilent()) await this.wait(0, UNHEARD_SPREAD_MS);
-    else await this.wait(AHEAD_MS, AHEAD_SPREAD_MS);
+    const {listUpdateSources, isStoreSilent} = this.options;
+    if (isStoreSilent()) await this.wait(0, STORE_SILENT_JITTER_MS);
+    else await this.wait(FETCH_DELAY_MS, FETCH_JITTER_MS);
     const failed = new Set<string>();
     // One answer may bring only a part: no peer needs to have all the news.
-    for (let asks = 0; asks < MOST_ASKS; asks++) {
-      const host = this.pickAhead(failed);
+    for (let requestCount = 0; requestCount < MAX_REQUESTS; requestCount++) {
+      const host = this.pickUpdateSource(failed);
       if (host === undefined) return;
       const goesOn = await this.tryFetch(host, failed);
-      if (!goesOn || listAhead().length === 0) return;
-      await this.wait(RETRY_MS, RETRY_SPREAD_MS);
+      if (!goesOn || listUpdateSources().length === 0) return;
+      await this.wait(RETRY_DELAY_MS, RETRY_JITTER_MS);
     }
   }
 
   /** A random peer, so that gates spread over all that are ahead. */
-  private pickAhead(failed: ReadonlySet<string>): string | undefined {
-    const {listAhead, random} = this.options;
-    const hosts = listAhead().filter(host => !failed.has(host));
+  private pickUpdateSource(failed: ReadonlySet<string>): string | undefined {
+    const {listUpdateSources, random} = this.options;
+    const hosts = listUpdateSources().filter(host => !failed.has(host));
     return hosts[Math.floor(random() * hosts.length)];
   }
 
@@ -91,17 +91,21 @@
   private async tryFetch(host: string, failed: Set<string>): Promise<boolean> {
     const {state, fetch, log, readNow} = this.options;
     const startedAt = readNow();
-    const countMs = () => Math.round(readNow() - startedAt);
+    const readElapsedMs = () => Math.round(readNow() - startedAt);
     try {
       state.applyShared(await fetch(host, state.versions));
     } catch (error) {
       if (error instanceof FactsBusyError) {
-        log.info('facts_from_peer_busy', {peer: host, ms: countMs()});
+        log.info('facts_from_peer_busy', {peer: host, ms: readElapsedMs()});
         return true;
       }
       failed.add(host);
       const reason = (error as Error).message;
-      log.warn('facts_from_peer_failed', {peer: host, ms: countMs(), reason});
+      log.warn('facts_from_peer_failed', {
+        peer: host,
+        ms: readElapsedMs(),
+        reason,
+      });
       // Peers of another version would all send the same facts.
       return !(error instanceof DecodeError);
     }
@@ -109,14 +113,14 @@
       peer: host,
       configVersion: state.config?.version,
       ...state.position,
-      ms: countMs(),
+      ms: readElapsedMs(),
     });
     return true;
   }
 
-  private wait(ms: number, spreadMs: number): Promise<void> {
-    const {random, wait = waitIdly} = this.options;
-    return wait(ms + random() * spreadMs);
+  private wait(ms: number, jitterMs: number): Promise<void> {
+    const {random, wait = waitUnref} = this.options;
+    return wait(ms + random() * jitterMs);
   }
 }
 
--- a/packages/direct/src/peers/facts-guards.test.ts
+++ b/packages/direct/src/peers/facts-guards.test.ts
@@ -15,12 +15,12 @@
 import type {AddressInfo, Server} from 'node:net';
 
 /** Peers that are sent a configuration at the same time. */
-const MOST_AT_ONCE = 2;
+const MAX_CONCURRENT_TRANSFERS = 2;
 
 /** Idle timeout of the tested gate, in ms. */
-const IDLE_MS = 300;
+const IDLE_TIMEOUT_MS = 300;
 
-const NOTHING = {configVersion: 0, position: NO_POSITION};
+const NO_FACTS_KNOWN = {configVersion: 0, position: NO_POSITION};
 
 function createLog() {
   const output = new Writable({write: (_chunk, _encoding, done) => done()});
@@ -43,7 +43,7 @@
     const fetcher = createFactsFetcher({
       isStoreSilent: () => false,
       state,
-      listAhead: () => (requests.length < 2 ? ['a'] : []),
+      listUpdateSources: () => (requests.length < 2 ? ['a'] : []),
       fetch: () => {
         requests.push(now);
         return Promise.reject(new FactsBusyError('busy'));
@@ -63,12 +63,16 @@
 
   it('ask at different times, and again at different times', async () => {
     // Guards against gates that ask at the same moment.
-    const soon = await recordRequests(() => 0);
-    const late = await recordRequests(() => 0.999);
-    expect(soon[0]).toEqual(400);
-    expect(late[0]).toBeGreaterThan(790);
-    expect(late[0]).toBeLessThanOrEqual(800);
-    expect(late[1] - late[0] - (soon[1] - soon[0])).toBeGreaterThan(100);
+    const withoutJitter = await recordRequests(() => 0);
+    const withMaxJitter = await recordRequests(() => 0.999);
+    expect(withoutJitter[0]).toEqual(400);
+    expect(withMaxJitter[0]).toBeGreaterThan(790);
+    expect(withMaxJitter[0]).toBeLessThanOrEqual(800);
+    expect(
+      withMaxJitter[1] -
+        withMaxJitter[0] -
+        (withoutJitter[1] - withoutJitter[0]),
+    ).toBeGreaterThan(100);
   });
 });
 
@@ -90,17 +94,17 @@
       state,
       log: createLog(),
       readNow: () => 0,
-      idleMs: IDLE_MS,
+      idleMs: IDLE_TIMEOUT_MS,
     });
     servers.push(server);
     return `127.0.0.1:${(server.address() as AddressInfo).port}`;
   }
 
   /** Opens a gate whose slots are taken by silent peers. */
-  async function openTakenGate(): Promise<string> {
+  async function openBusyGate(): Promise<string> {
     const address = await openGate();
     const [host, port] = address.split(':');
-    for (let i = 0; i < MOST_AT_ONCE; i++) {
+    for (let i = 0; i < MAX_CONCURRENT_TRANSFERS; i++) {
       const socket = connect(Number(port), host);
       socket.on('error', () => undefined);
       open.push(socket);
@@ -113,17 +117,17 @@
 
   it('release their slot at the gate that they asked', async () => {
     // Guards against frozen peers that hold their slots for good.
-    const address = await openTakenGate();
-    await new Promise(resolve => setTimeout(resolve, 3 * IDLE_MS));
-    const facts = await fetchSharedFacts(address, NOTHING);
+    const address = await openBusyGate();
+    await new Promise(resolve => setTimeout(resolve, 3 * IDLE_TIMEOUT_MS));
+    const facts = await fetchSharedFacts(address, NO_FACTS_KNOWN);
     expect(facts.config?.version).toEqual(7);
   });
 
   it('are not those that have what they asked for', async () => {
     // Guards against a peer that holds its slot after the answer.
     const address = await openGate();
-    for (let i = 0; i <= MOST_AT_ONCE; i++) {
-      const facts = await fetchSharedFacts(address, NOTHING);
+    for (let i = 0; i <= MAX_CONCURRENT_TRANSFERS; i++) {
+      const facts = await fetchSharedFacts(address, NO_FACTS_KNOWN);
       expect(facts.config?.version).toEqual(7);
     }
   });
@@ -131,7 +135,7 @@
   it('are told apart from a gate that serves others', async () => {
     // Guards against treating a busy peer as a failed one.
     const known = {configVersion: 0, position: buildPosition(1000)};
-    const waiting = fetchSharedFacts(await openTakenGate(), known);
+    const waiting = fetchSharedFacts(await openBusyGate(), known);
     await expect(waiting).toBeRejectedWith(FactsBusyError);
   });
 
@@ -139,7 +143,7 @@
     // Guards against withholding the small list of targets from a busy gate's
     // peers.
     const known = {configVersion: 7, position: NO_POSITION};
-    const facts = await fetchSharedFacts(await openTakenGate(), known);
+    const facts = await fetchSharedFacts(await openBusyGate(), known);
     expect(facts.config === undefined).toEqual(true);
     expect(facts.targets.map(({id}) => id)).toEqual(['t']);
   });
@@ -151,7 +155,7 @@
     server.listen(0, '127.0.0.1');
     await once(server, 'listening');
     const {port} = server.address() as AddressInfo;
-    const waiting = fetchSharedFacts(`127.0.0.1:${port}`, NOTHING);
+    const waiting = fetchSharedFacts(`127.0.0.1:${port}`, NO_FACTS_KNOWN);
     await expect(Promise.race([waiting, waitThenThrow(2500)])).toBeRejectedWith(
       RpcClosedError,
     );
@@ -175,7 +179,7 @@
     server.listen(0, '127.0.0.1');
     await once(server, 'listening');
     const {port} = server.address() as AddressInfo;
-    const waiting = fetchSharedFacts(`127.0.0.1:${port}`, NOTHING);
+    const waiting = fetchSharedFacts(`127.0.0.1:${port}`, NO_FACTS_KNOWN);
     await expect(waiting).toBeRejectedWith(DecodeError);
     server.close();
   });
@@ -184,16 +188,16 @@
 describe('facts of a gate that is ahead by a configuration alone', () => {
   it('take away no target, however old its entry', () => {
     // Guards against an answer without targets that removes all of them.
-    const ahead = createFleetState(() => 0);
-    ahead.applyChange({kind: 'config', config: buildConfig(7)});
-    ahead.applyChange({kind: 'target', target: buildTarget('b', 9)});
-    const behind = createFleetState(() => 0);
-    behind.applyChange({kind: 'target', target: buildTarget('old', 2)});
-    behind.applyChange({kind: 'target', target: buildTarget('new', 12)});
-    const known = {configVersion: 0, position: behind.position};
-    behind.applyShared(ahead.describeShared(known));
-    expect(behind.config?.version).toEqual(7);
-    expect(behind.targetCount).toEqual(2);
-    expect(behind.position.revision).toEqual(12);
+    const newerState = createFleetState(() => 0);
+    newerState.applyChange({kind: 'config', config: buildConfig(7)});
+    newerState.applyChange({kind: 'target', target: buildTarget('b', 9)});
+    const ownState = createFleetState(() => 0);
+    ownState.applyChange({kind: 'target', target: buildTarget('old', 2)});
+    ownState.applyChange({kind: 'target', target: buildTarget('new', 12)});
+    const known = {configVersion: 0, position: ownState.position};
+    ownState.applyShared(newerState.describeShared(known));
+    expect(ownState.config?.version).toEqual(7);
+    expect(ownState.targetCount).toEqual(2);
+    expect(ownState.position.revision).toEqual(12);
   });
 });
--- a/packages/direct/src/peers/facts-hand-over.test.ts
+++ b/packages/direct/src/peers/facts-hand-over.test.ts
@@ -17,7 +17,7 @@
 const ROUTE_COUNT = 100_000;
 
 /** Peers that are sent a configuration at the same time. */
-const MOST_AT_ONCE = 2;
+const MAX_CONCURRENT_TRANSFERS = 2;
 
 /** Longer than any test, in ms: clients pause on purpose. */
 const TEST_IDLE_MS = 60_000;
@@ -30,14 +30,14 @@
 /** Runs a fetcher to its end without waiting. */
 async function runFetcher(
   state: FleetState,
-  listAhead: () => readonly string[],
+  listUpdateSources: () => readonly string[],
   fetch: Parameters<typeof createFactsFetcher>[0]['fetch'],
 ): Promise<void> {
   let askedAt = performance.now();
   const fetcher = createFactsFetcher({
     isStoreSilent: () => false,
     state,
-    listAhead,
+    listUpdateSources,
     fetch: (host, known) => {
       askedAt = performance.now();
       return fetch(host, known);
@@ -64,17 +64,19 @@
       held: [],
       doubts: [],
     };
-    const ahead: Readonly<Record<string, SharedFacts>> = {
+    const peerFacts: Readonly<Record<string, SharedFacts>> = {
       a: {...news, config: undefined},
       b: {...news, config: buildConfig(7)},
     };
-    const listAhead = () =>
-      Object.keys(ahead).filter(
+    const listUpdateSources = () =>
+      Object.keys(peerFacts).filter(
         host =>
-          isNewer(ahead[host].position, state.position) ||
-          (ahead[host].config?.version ?? 6) > (state.config?.version ?? 0),
+          isNewer(peerFacts[host].position, state.position) ||
+          (peerFacts[host].config?.version ?? 6) > (state.config?.version ?? 0),
       );
-    await runFetcher(state, listAhead, host => Promise.resolve(ahead[host]));
+    await runFetcher(state, listUpdateSources, host =>
+      Promise.resolve(peerFacts[host]),
+    );
     expect(state.config?.version).toEqual(7);
   });
 });
@@ -125,13 +127,14 @@
   it('still hands out its list of targets', async () => {
     // Guards against a busy gate that refuses the small list of targets as
     // well.
-    for (let i = 0; i < MOST_AT_ONCE; i++) await askAndPause();
-    const behind = createFleetState(() => 0);
-    const listAhead = () => (behind.position.revision < 3 ? ['a'] : []);
-    await runFetcher(behind, listAhead, (_host, known) =>
+    for (let i = 0; i < MAX_CONCURRENT_TRANSFERS; i++) await askAndPause();
+    const ownState = createFleetState(() => 0);
+    const listUpdateSources = () =>
+      ownState.position.revision < 3 ? ['a'] : [];
+    await runFetcher(ownState, listUpdateSources, (_host, known) =>
       fetchSharedFacts(address, known),
     );
-    expect(behind.findTarget('t')?.id).toEqual('t');
+    expect(ownState.findTarget('t')?.id).toEqual('t');
   });
 
   it('says what was queued for one that hung up', async () => {
--- a/packages/direct/src/peers/messages.ts
+++ b/packages/direct/src/peers/messages.ts
@@ -58,7 +58,7 @@
 });
 export type Heartbeat = z.output<typeof HeartbeatSchema>;
 
-export const KeySchema = z.object({key: z.string()});
+export const PlacementKeySchema = z.object({key: z.string()});
 
 const JSON_RPC = z.literal('2.0');
 
@@ -74,14 +74,22 @@
     method: z.literal('placed'),
     params: WirePlacementSchema,
   }),
-  z.object({jsonrpc: JSON_RPC, method: z.literal('begun'), params: KeySchema}),
-  z.object({jsonrpc: JSON_RPC, method: z.literal('ended'), params: KeySchema}),
+  z.object({
+    jsonrpc: JSON_RPC,
+    method: z.literal('begun'),
+    params: PlacementKeySchema,
+  }),
+  z.object({
+    jsonrpc: JSON_RPC,
+    method: z.literal('ended'),
+    params: PlacementKeySchema,
+  }),
 ]);
 export type Datagram = z.output<typeof DatagramSchema>;
 
 function mergeEqual(values: readonly number[]): number[] {
-  const isAlike = values.every(value => value === values[0]);
-  return isAlike ? values.slice(0, 1) : [...values];
+  const isUniform = values.every(value => value === values[0]);
+  return isUniform ? values.slice(0, 1) : [...values];
 }
 
 /**
--- a/packages/direct/src/peers/peer-group.ts
+++ b/packages/direct/src/peers/peer-group.ts
@@ -7,7 +7,7 @@
 import {createSocket} from 'node:dgram';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {PlacementAnnouncer} from '../placement/prompt-placer.js';
-import {LAPSE_HOLD_MS} from '../fleet/target-table.js';
+import {HOLD_AFTER_OUTAGE_MS} from '../fleet/target-table.js';
 import {fetchSharedFacts, openFactsServer} from './facts-exchange.js';
 import {createFactsFetcher} from './facts-fetcher.js';
 import {DatagramSchema, toPlacement, toWirePlacement} from './messages.js';
@@ -27,7 +27,7 @@
 const HEARTBEAT_MS = 1000;
 
 /** Shortest time between heartbeats that news triggers, in ms. */
-const NEWS_MIN_MS = 100;
+const CHANGE_HEARTBEAT_DELAY_MS = 100;
 
 /**
  * Age of the store's last answer from which it counts as silent, in ms: above
@@ -36,7 +36,7 @@
 const STORE_SILENT_MS = 3000;
 
 /** Time for the last messages to leave, in ms. */
-const LEAVE_MS = 30;
+const LEAVE_FLUSH_MS = 30;
 
 /** Dependencies of a peer group. */
 export interface PeerGroupOptions {
@@ -72,9 +72,9 @@
   private socket: DatagramSocket | undefined;
   private server: Server | undefined;
   private timer: NodeJS.Timeout | undefined;
-  private newsTimer: NodeJS.Timeout | undefined;
+  private changeTimer: NodeJS.Timeout | undefined;
   private readonly fetcher: FactsFetcher;
-  private readonly sync: StartupSync;
+  private readonly startupSync: StartupSync;
   private isLeaving = false;
 
   constructor(private readonly options: PeerGroupOptions) {
@@ -84,10 +84,10 @@
     const fetch = (host: string, known: FactVersions) =>
       fetchSharedFacts(`${host}:${port}`, known);
     this.table = new PeerTable(ownHost, readNow);
-    this.sync = new StartupSync({
+    this.startupSync = new StartupSync({
       state,
       listPeers: () => this.listGates().filter(host => host !== ownHost),
-      listAhead: () => this.listAhead(),
+      listUpdateSources: () => this.listUpdateSources(),
       fetch,
       log,
       readNow,
@@ -95,7 +95,7 @@
     this.fetcher = createFactsFetcher({
       state,
       isStoreSilent: () => readStoreAgeMs() > STORE_SILENT_MS,
-      listAhead: () => this.listAhead(),
+      listUpdateSources: () => this.listUpdateSources(),
       fetch,
       log,
       readNow,
@@ -104,7 +104,8 @@
     state.onChange(({source, event}) => {
       // A configuration that came from a peer is announced too, so that others
       // can fetch it here.
-      if (source === 'store' || event === 'config_applied') this.scheduleNews();
+      if (source === 'store' || event === 'config_applied')
+        this.scheduleChangeHeartbeat();
       if (event === 'target_held') this.confirmRemovals();
     });
   }
@@ -116,12 +117,12 @@
 
   /** True once this gate knows what its peers know of an older copy. */
   get isSynchronized(): boolean {
-    return this.sync.isDone;
+    return this.startupSync.isDone;
   }
 
   /** Gates that share budgets, this one included. */
   countGates(): number {
-    return this.table.countSharing();
+    return this.table.countBudgetMembers();
   }
 
   /** Hosts of live gates, this one included. */
@@ -170,12 +171,12 @@
     this.isLeaving = true;
     this.broadcastHeartbeats();
     clearInterval(this.timer);
-    clearTimeout(this.newsTimer);
+    clearTimeout(this.changeTimer);
     this.server?.close();
     const {socket} = this;
     this.socket = undefined;
     // Lets the last datagrams leave before the socket closes.
-    await sleep(LEAVE_MS);
+    await sleep(LEAVE_FLUSH_MS);
     socket?.close();
   }
 
@@ -215,7 +216,7 @@
     const hosts = new Set([...this.seedHosts, ...this.table.listHosts()]);
     hosts.delete(this.options.host);
     for (const host of hosts)
-      this.sendHeartbeat(host, wantsReply || !this.table.isHeard(host));
+      this.sendHeartbeat(host, wantsReply || !this.table.isHeardFrom(host));
   }
 
   /** @param isFull - Includes whole placements. */
@@ -236,10 +237,10 @@
       factsAgeMs: Math.round(readStoreAgeMs()),
       contactMs: Math.round(readContactMs()),
       peers: [...this.table.listHosts()],
-      open: own.map(({placement}) => readNumber(placement.key)),
+      open: own.map(({placement}) => parsePlacementNumber(placement.key)),
       begun: own
         .filter(({hasBegun}) => hasBegun)
-        .map(({placement}) => readNumber(placement.key)),
+        .map(({placement}) => parsePlacementNumber(placement.key)),
       placements: isFull
         ? own.map(({placement, hasBegun}) =>
             toWirePlacement(placement, hasBegun, now),
@@ -281,7 +282,7 @@
   private applyHeartbeat(heartbeat: Heartbeat): void {
     if (heartbeat.from === this.options.host) return;
     const now = this.options.readNow();
-    const peer = this.table.readPeer(heartbeat.from);
+    const peer = this.table.findOrAddPeer(heartbeat.from);
     if (peer.incarnation !== heartbeat.incarnation)
       this.applyRestart(peer, heartbeat);
     const isNew = this.table.recordHeartbeat(peer, heartbeat);
@@ -292,7 +293,7 @@
     if (isNew) this.options.log.info('peer_joined', {peer: peer.host});
     if (heartbeat.wantsReply || isNew)
       this.sendHeartbeat(peer.host, false, true);
-    if (this.isAhead(peer)) this.fetcher.schedule();
+    if (this.isUpdateSource(peer)) this.fetcher.schedule();
     this.confirmRemovals();
   }
 
@@ -302,8 +303,8 @@
    */
   private confirmRemovals(): void {
     const {state} = this.options;
-    const since = state.outageAt - LAPSE_HOLD_MS;
-    state.confirmRemovals(this.table.findPositionInContact(since));
+    const since = state.outageStartedAt - HOLD_AFTER_OUTAGE_MS;
+    state.confirmRemovals(this.table.findPositionWithoutOutage(since));
   }
 
   private applyRestart(peer: Peer, heartbeat: Heartbeat): void {
@@ -343,7 +344,7 @@
     log.info('peer_lost', {peer: peer.host, reason});
   }
 
-  private isAhead(peer: Peer): boolean {
+  private isUpdateSource(peer: Peer): boolean {
     const {state} = this.options;
     return (
       state.isBehind(peer.position) ||
@@ -351,25 +352,27 @@
     );
   }
 
-  private listAhead(): readonly string[] {
+  private listUpdateSources(): readonly string[] {
     if (this.isLeaving) return [];
     const ahead = this.table
       .listAlive()
-      .filter(peer => peer.incarnation !== undefined && this.isAhead(peer));
+      .filter(
+        peer => peer.incarnation !== undefined && this.isUpdateSource(peer),
+      );
     return ahead.map(({host}) => host);
   }
 
-  private scheduleNews(): void {
-    if (this.newsTimer !== undefined) return;
-    this.newsTimer = setTimeout(() => {
-      this.newsTimer = undefined;
+  private scheduleChangeHeartbeat(): void {
+    if (this.changeTimer !== undefined) return;
+    this.changeTimer = setTimeout(() => {
+      this.changeTimer = undefined;
       this.broadcastHeartbeats();
-    }, NEWS_MIN_MS);
+    }, CHANGE_HEARTBEAT_DELAY_MS);
   }
 }
 
 /** Number of a placement within its gate. */
-function readNumber(key: string): number {
+function parsePlacementNumber(key: string): number {
   return Number(key.slice(key.indexOf('#') + 1));
 }
 
--- a/packages/direct/src/peers/peer-table.test.ts
+++ b/packages/direct/src/peers/peer-table.test.ts
@@ -29,11 +29,11 @@
   };
 }
 
-function createWorld() {
+function createHarness() {
   let now = 0;
   const table = new PeerTable('own', () => now);
   const heartbeat = (host: string, revision = 5) => {
-    const peer = table.readPeer(host);
+    const peer = table.findOrAddPeer(host);
     peer.incarnation = '1';
     return table.recordHeartbeat(peer, buildHeartbeat(host, revision));
   };
@@ -43,29 +43,32 @@
 
 describe('the other gates of a gate', () => {
   it('are alive while their heartbeats arrive, and learn of others', () => {
-    const {table, heartbeat} = createWorld();
+    const {table, heartbeat} = createHarness();
     expect(heartbeat('a')).toEqual(true);
     expect(heartbeat('a')).toEqual(false);
     expect(table.listAlive().map(({host}) => host)).toEqual(['a']);
     expect([...table.listHosts()].sort()).toEqual(['a', 'c']);
-    expect([table.isHeard('a'), table.isHeard('c')]).toEqual([true, false]);
+    expect([table.isHeardFrom('a'), table.isHeardFrom('c')]).toEqual([
+      true,
+      false,
+    ]);
   });
 
   it('share budgets longer than they are asked for facts', () => {
     // Guards against a retry budget that grows when a peer is cut off.
-    const {table, heartbeat, advance} = createWorld();
+    const {table, heartbeat, advance} = createHarness();
     heartbeat('a');
     advance(10 * SECOND_MS);
     expect(table.listAlive().length).toEqual(0);
-    expect(table.countSharing()).toEqual(2);
+    expect(table.countBudgetMembers()).toEqual(2);
     advance(30 * SECOND_MS);
-    expect(table.countSharing()).toEqual(1);
+    expect(table.countBudgetMembers()).toEqual(1);
   });
 
   it('are dropped when silent, and forgotten long after', () => {
     // Guards against gates that never find each other again after a restart
     // without seeds.
-    const {table, heartbeat, advance} = createWorld();
+    const {table, heartbeat, advance} = createHarness();
     heartbeat('a');
     advance(4 * SECOND_MS);
     const silent = table.expireSilent();
@@ -80,7 +83,7 @@
 
   it('confirm facts only up to what they know themselves', () => {
     // Guards against a peer with newer facts that confirms older ones.
-    const {table, heartbeat, advance} = createWorld();
+    const {table, heartbeat, advance} = createHarness();
     heartbeat('a', 5);
     advance(100);
     heartbeat('b', 9);
@@ -91,21 +94,27 @@
 
   it('finds who had the store all the while, and only those', () => {
     // Guards against removals confirmed by a gate that had an outage itself.
-    const {table, advance} = createWorld();
+    const {table, advance} = createHarness();
     advance(20 * SECOND_MS);
-    const outageAt = 10 * SECOND_MS;
+    const outageStartedAt = 10 * SECOND_MS;
     table.recordHeartbeat(
-      table.readPeer('b'),
+      table.findOrAddPeer('b'),
       buildHeartbeat('b', 9, 5 * SECOND_MS),
     );
-    table.recordHeartbeat(table.readPeer('c'), buildHeartbeat('c', 8));
-    expect(table.findPositionInContact(outageAt)).toEqual(buildPosition(0));
+    table.recordHeartbeat(table.findOrAddPeer('c'), buildHeartbeat('c', 8));
+    expect(table.findPositionWithoutOutage(outageStartedAt)).toEqual(
+      buildPosition(0),
+    );
     table.recordHeartbeat(
-      table.readPeer('d'),
+      table.findOrAddPeer('d'),
       buildHeartbeat('d', 7, 15 * SECOND_MS),
     );
-    expect(table.findPositionInContact(outageAt)).toEqual(buildPosition(7));
+    expect(table.findPositionWithoutOutage(outageStartedAt)).toEqual(
+      buildPosition(7),
+    );
     advance(5 * SECOND_MS);
-    expect(table.findPositionInContact(outageAt)).toEqual(buildPosition(0));
+    expect(table.findPositionWithoutOutage(outageStartedAt)).toEqual(
+      buildPosition(0),
+    );
   });
 });
--- a/packages/direct/src/peers/peer-table.ts
+++ b/packages/direct/src/peers/peer-table.ts
@@ -6,13 +6,13 @@
 /**
  * Silence after which a peer's placements are dropped, in ms: three heartbeats.
  */
-const SILENT_MS = 3200;
+const PEER_TIMEOUT_MS = 3200;
 
 /** Silence after which a peer no longer counts for shared budgets, in ms. */
-const FORGET_BUDGET_MS = 30_000;
+const BUDGET_SHARE_TIMEOUT_MS = 30_000;
 
 /** Silence after which a peer is no longer contacted, in ms. */
-const FORGET_MS = 120_000;
+const PEER_RETENTION_MS = 120_000;
 
 /** A peer as its heartbeats describe it. */
 export interface Peer {
@@ -20,16 +20,16 @@
   /** Absent before its first heartbeat, and after it is lost. */
   incarnation: string | undefined;
   /** Last heartbeat on the monotonic clock; -Infinity before the first. */
-  heardAt: number;
+  lastHeartbeatAt: number;
   /** When it became known. */
-  readonly knownAt: number;
+  readonly discoveredAt: number;
   configVersion: number;
   position: FactPosition;
   factsAgeMs: number;
   /**
    * Since when the store has answered it without an outage; Infinity in one.
    */
-  contactAt: number;
+  contactSince: number;
 }
 
 /**
@@ -53,32 +53,32 @@
 
   /** Peers with a recent heartbeat. */
   listAlive(): readonly Peer[] {
-    return this.listHeardWithin(SILENT_MS);
+    return this.listHeardFromWithin(PEER_TIMEOUT_MS);
   }
 
   /** Number of gates that share budgets, this one included. */
-  countSharing(): number {
-    return 1 + this.listHeardWithin(FORGET_BUDGET_MS).length;
+  countBudgetMembers(): number {
+    return 1 + this.listHeardFromWithin(BUDGET_SHARE_TIMEOUT_MS).length;
   }
 
   /** True after the first heartbeat of a peer. */
-  isHeard(host: string): boolean {
-    return (this.peers.get(host)?.heardAt ?? -Infinity) >= 0;
+  isHeardFrom(host: string): boolean {
+    return (this.peers.get(host)?.lastHeartbeatAt ?? -Infinity) >= 0;
   }
 
   /** Finds a peer, or adds it. */
-  readPeer(host: string): Peer {
+  findOrAddPeer(host: string): Peer {
     const known = this.peers.get(host);
     if (known !== undefined) return known;
     const peer: Peer = {
       host,
       incarnation: undefined,
-      heardAt: -Infinity,
-      knownAt: this.readNow(),
+      lastHeartbeatAt: -Infinity,
+      discoveredAt: this.readNow(),
       configVersion: 0,
       position: NO_POSITION,
       factsAgeMs: Infinity,
-      contactAt: Infinity,
+      contactSince: Infinity,
     };
     if (host !== this.ownHost) this.peers.set(host, peer);
     return peer;
@@ -86,15 +86,17 @@
 
   /** Records a heartbeat; returns whether it is the peer's first. */
   recordHeartbeat(peer: Peer, heartbeat: Heartbeat): boolean {
-    const isFirst = peer.heardAt === -Infinity;
-    peer.heardAt = this.readNow();
+    const isFirst = peer.lastHeartbeatAt === -Infinity;
+    peer.lastHeartbeatAt = this.readNow();
     peer.configVersion = heartbeat.configVersion;
     const {era, revision} = heartbeat;
     peer.position = {era, revision};
     peer.factsAgeMs = heartbeat.factsAgeMs;
-    peer.contactAt =
-      heartbeat.contactMs > 0 ? peer.heardAt - heartbeat.contactMs : Infinity;
-    for (const host of heartbeat.peers) this.readPeer(host);
+    peer.contactSince =
+      heartbeat.contactMs > 0
+        ? peer.lastHeartbeatAt - heartbeat.contactMs
+        : Infinity;
+    for (const host of heartbeat.peers) this.findOrAddPeer(host);
     return isFirst;
   }
 
@@ -106,10 +108,10 @@
     const now = this.readNow();
     const silent: Peer[] = [];
     for (const peer of this.peers.values()) {
-      const silentMs = now - Math.max(peer.heardAt, peer.knownAt);
-      if (silentMs > SILENT_MS && peer.incarnation !== undefined)
+      const silentMs = now - Math.max(peer.lastHeartbeatAt, peer.discoveredAt);
+      if (silentMs > PEER_TIMEOUT_MS && peer.incarnation !== undefined)
         silent.push(peer);
-      if (silentMs > FORGET_MS) this.peers.delete(peer.host);
+      if (silentMs > PEER_RETENTION_MS) this.peers.delete(peer.host);
     }
     return silent;
   }
@@ -125,7 +127,10 @@
         peer.position.era === position.era &&
         !isNewer(peer.position, position)
       )
-        age = Math.min(age, this.readNow() - peer.heardAt + peer.factsAgeMs);
+        age = Math.min(
+          age,
+          this.readNow() - peer.lastHeartbeatAt + peer.factsAgeMs,
+        );
     return age;
   }
 
@@ -133,16 +138,18 @@
    * Newest position of a live peer that the store has answered since before
    * `since`.
    */
-  findPositionInContact(since: number): FactPosition {
+  findPositionWithoutOutage(since: number): FactPosition {
     return pickNewest(
       this.listAlive()
-        .filter(({contactAt}) => contactAt <= since)
+        .filter(({contactSince: contactAt}) => contactAt <= since)
         .map(({position}) => position),
     );
   }
 
-  private listHeardWithin(ms: number): readonly Peer[] {
+  private listHeardFromWithin(ms: number): readonly Peer[] {
     const since = this.readNow() - ms;
-    return [...this.peers.values()].filter(peer => peer.heardAt > since);
+    return [...this.peers.values()].filter(
+      peer => peer.lastHeartbeatAt > since,
+    );
   }
 }
--- a/packages/direct/src/peers/shared-facts.test.ts
+++ b/packages/direct/src/peers/shared-facts.test.ts
@@ -8,7 +8,7 @@
 import {buildConfig} from '../test/gate-world.js';
 import {decodeSharedFacts, toKnownFacts} from './shared-facts.js';
 
-const NOTHING = {configVersion: 0, position: NO_POSITION};
+const NO_FACTS_KNOWN = {configVersion: 0, position: NO_POSITION};
 
 /** Facts as a peer receives them. */
 function describeOnWire(): unknown {
@@ -19,7 +19,7 @@
     targets: [buildTarget('a', 3), buildTarget('b', 9)],
     malformed: [],
   });
-  return JSON.parse(JSON.stringify(state.describeShared(NOTHING)));
+  return JSON.parse(JSON.stringify(state.describeShared(NO_FACTS_KNOWN)));
 }
 
 /** Paths of all values in `value`. */
@@ -43,9 +43,9 @@
   it('are what that gate knows', () => {
     const state = createFleetState(() => 0);
     state.applyShared(decodeSharedFacts(describeOnWire()));
-    expect(JSON.parse(JSON.stringify(state.describeShared(NOTHING)))).toEqual(
-      describeOnWire(),
-    );
+    expect(
+      JSON.parse(JSON.stringify(state.describeShared(NO_FACTS_KNOWN))),
+    ).toEqual(describeOnWire());
   });
 
   it('are not used when any figure was lost on the way', () => {
@@ -66,9 +66,9 @@
 
   it('are asked for whole by a gate that says nothing of its own', () => {
     // Guards against an error while gates of two versions run side by side.
-    expect(toKnownFacts(undefined)).toEqual(NOTHING);
-    expect(toKnownFacts({})).toEqual(NOTHING);
-    expect(toKnownFacts({configVersion: 'x'})).toEqual(NOTHING);
+    expect(toKnownFacts(undefined)).toEqual(NO_FACTS_KNOWN);
+    expect(toKnownFacts({})).toEqual(NO_FACTS_KNOWN);
+    expect(toKnownFacts({configVersion: 'x'})).toEqual(NO_FACTS_KNOWN);
   });
 
   it('leave out what the peer has', () => {
@@ -88,18 +88,18 @@
 
   it('keep the targets of a gate that is ahead of the other by a config', () => {
     // Guards against an answer without targets that removes all of them.
-    const ahead = createFleetState(() => 0);
-    ahead.applyShared(decodeSharedFacts(describeOnWire()));
-    const behind = createFleetState(() => 0);
-    behind.applySnapshot({
+    const newerState = createFleetState(() => 0);
+    newerState.applyShared(decodeSharedFacts(describeOnWire()));
+    const ownState = createFleetState(() => 0);
+    ownState.applySnapshot({
       position: buildPosition(12),
       config: buildConfig(5),
       targets: [buildTarget('c', 12)],
       malformed: [],
     });
-    const known = {configVersion: 5, position: behind.position};
-    behind.applyShared(ahead.describeShared(known));
-    expect(behind.config?.version).toEqual(7);
-    expect(behind.targetCount).toEqual(1);
+    const known = {configVersion: 5, position: ownState.position};
+    ownState.applyShared(newerState.describeShared(known));
+    expect(ownState.config?.version).toEqual(7);
+    expect(ownState.targetCount).toEqual(1);
   });
 });
--- a/packages/direct/src/peers/startup-sync.test.ts
+++ b/packages/direct/src/peers/startup-sync.test.ts
@@ -18,10 +18,10 @@
 };
 
 /** A gate that starts in era `era`, with answers of peers by host. */
-function createWorld(
+function createHarness(
   era: number,
   answers: Readonly<Record<string, SharedFacts | Error | undefined>>,
-  later: Readonly<Record<string, SharedFacts>> = {},
+  laterAnswers: Readonly<Record<string, SharedFacts>> = {},
 ) {
   let now = 0;
   const asked: string[] = [];
@@ -29,12 +29,14 @@
   const sync = new StartupSync({
     state,
     listPeers: () => Object.keys(answers),
-    listAhead: () =>
+    listUpdateSources: () =>
       (state.config?.version ?? 0) < 7 ? Object.keys(answers) : [],
     fetch: host => {
       const isFirst = !asked.includes(host);
       asked.push(host);
-      const facts = isFirst ? answers[host] : (later[host] ?? answers[host]);
+      const facts = isFirst
+        ? answers[host]
+        : (laterAnswers[host] ?? answers[host]);
       if (facts === undefined) return Promise.reject(new Error('gone'));
       return facts instanceof Error
         ? Promise.reject(facts)
@@ -66,7 +68,7 @@
 
 describe('synchronization of a gate that starts', () => {
   it('is not needed while the store is in its first era', async () => {
-    const {sync, asked, readStore} = createWorld(0, {a: PEER_FACTS});
+    const {sync, asked, readStore} = createHarness(0, {a: PEER_FACTS});
     expect(sync.isDone).toEqual(false);
     await readStore();
     expect(sync.isDone).toEqual(true);
@@ -75,7 +77,7 @@
 
   it('merges the facts of the first peer that answers', async () => {
     // Guards against a gate that is ready with an older copy's configuration.
-    const {state, sync, asked, readStore} = createWorld(2, {
+    const {state, sync, asked, readStore} = createHarness(2, {
       gone: undefined,
       a: PEER_FACTS,
     });
@@ -88,7 +90,7 @@
   it('goes on while a peer has a configuration that it did not send', async () => {
     // Guards against being ready with the copy's configuration because the peer
     // was sending its own to others.
-    const {state, sync, readStore} = createWorld(
+    const {state, sync, readStore} = createHarness(
       2,
       {a: {...PEER_FACTS, config: undefined}},
       {a: PEER_FACTS},
@@ -100,7 +102,7 @@
 
   it('asks a busy peer again', async () => {
     // Guards against a start without facts because the only peer was busy.
-    const {state, asked, readStore} = createWorld(
+    const {state, asked, readStore} = createHarness(
       2,
       {a: new FactsBusyError('busy')},
       {a: PEER_FACTS},
@@ -112,7 +114,7 @@
 
   it('ends without a peer', async () => {
     // Guards against a single gate that is never ready.
-    const {sync, readStore, readWaitedMs} = createWorld(2, {});
+    const {sync, readStore, readWaitedMs} = createHarness(2, {});
     await readStore();
     expect(sync.isDone).toEqual(true);
     expect(readWaitedMs()).toEqual(1500);
--- a/packages/direct/src/peers/startup-sync.ts
+++ b/packages/direct/src/peers/startup-sync.ts
@@ -4,7 +4,7 @@
  */
 import {FactsBusyError} from '../errors.js';
 import {NO_POSITION} from '../fleet/fact-position.js';
-import {waitIdly} from './wait-idly.js';
+import {waitUnref} from './wait-idly.js';
 import type {
   FactVersions,
   FleetState,
@@ -16,10 +16,10 @@
  * Longest wait for a peer, in ms: above one heartbeat, by which peers find a
  * gate whose seeds are down.
  */
-const SYNC_MAX_MS = 1500;
+const SYNC_TIMEOUT_MS = 1500;
 
 /** Pause between two requests, in ms. */
-const RETRY_MS = 50;
+const RETRY_DELAY_MS = 50;
 
 /** Dependencies of the synchronization. */
 export interface StartupSyncOptions {
@@ -27,7 +27,7 @@
   /** Hosts of live peers. */
   readonly listPeers: () => readonly string[];
   /** Hosts of live peers with newer facts. */
-  readonly listAhead: () => readonly string[];
+  readonly listUpdateSources: () => readonly string[];
   readonly fetch: (host: string, known: FactVersions) => Promise<SharedFacts>;
   readonly log: DecisionLog;
   readonly readNow: () => number;
@@ -43,8 +43,8 @@
  * sync.isDone; // true while the store is in its first era
  */
 export class StartupSync {
-  private isOver = false;
-  private isUnderWay = false;
+  private isFinished = false;
+  private isRunning = false;
 
   constructor(private readonly options: StartupSyncOptions) {
     options.state.onChange(() => this.handleChange());
@@ -53,37 +53,43 @@
   /** True once the gate may be ready. */
   get isDone(): boolean {
     const {state} = this.options;
-    return this.isOver || (state.isServing && state.position.era === 0);
+    return this.isFinished || (state.isServing && state.position.era === 0);
   }
 
   private handleChange(): void {
     const {state} = this.options;
-    if (this.isOver || this.isUnderWay || !state.isServing) return;
+    if (this.isFinished || this.isRunning || !state.isServing) return;
     if (state.position.era === 0) return;
-    this.isUnderWay = true;
+    this.isRunning = true;
     void this.run();
   }
 
   private async run(): Promise<void> {
-    const {listAhead, listPeers, log, readNow, wait = waitIdly} = this.options;
-    const giveUpAt = readNow() + SYNC_MAX_MS;
+    const {
+      listUpdateSources,
+      listPeers,
+      log,
+      readNow,
+      wait = waitUnref,
+    } = this.options;
+    const deadlineAt = readNow() + SYNC_TIMEOUT_MS;
     const failed = new Set<string>();
-    while (readNow() < giveUpAt) {
+    while (readNow() < deadlineAt) {
       // A peer that is ahead may have more than it could send at once.
-      const host = [...listAhead(), ...listPeers()].find(
+      const host = [...listUpdateSources(), ...listPeers()].find(
         peer => !failed.has(peer),
       );
       const isDone = host !== undefined && (await this.trySync(host, failed));
-      if (isDone && listAhead().length === 0) return this.finish(host);
-      if (host === undefined || !failed.has(host)) await wait(RETRY_MS);
+      if (isDone && listUpdateSources().length === 0) return this.finish(host);
+      if (host === undefined || !failed.has(host)) await wait(RETRY_DELAY_MS);
     }
-    this.isOver = true;
+    this.isFinished = true;
     log.warn('start_unconfirmed', {peers: failed.size});
   }
 
   private finish(host: string): void {
     const {state, log} = this.options;
-    this.isOver = true;
+    this.isFinished = true;
     log.info('start_confirmed', {peer: host, ...state.position});
   }
 
--- a/packages/direct/src/peers/wait-idly.ts
+++ b/packages/direct/src/peers/wait-idly.ts
@@ -7,6 +7,6 @@
  * @example
  * await waitIdly(50);
  */
-export function waitIdly(ms: number): Promise<void> {
+export function waitUnref(ms: number): Promise<void> {
   return sleep(ms, undefined, {ref: false});
 }
