--- a/packages/direct/src/fleet/target-table.ts
+++ b/packages/direct/src/fleet/target-table.ts
@@ -34,7 +34,7 @@
 
 /** A removed incarnation of a target. */
 interface RemovedTarget {
-  readonly removedAt: number;
+  readonly at: number;
   /** Position at which the entry of the incarnation was missing or replaced. */
   readonly position: FactPosition;
 }
@@ -270,7 +270,7 @@
       this.doubts.delete(name);
       if (entry !== undefined) this.set(entry, 'hold_expired');
     }
-    for (const [id, {removedAt: at}] of this.left)
+    for (const [id, {at}] of this.left)
       if (now - at > REMOVED_RETENTION_MS) this.left.delete(id);
   }
 
@@ -364,7 +364,7 @@
     this.targets.delete(target.name);
     this.serviceById.delete(target.id);
     this.held.delete(target.name);
-    this.left.set(target.id, {removedAt: this.options.readNow(), position});
+    this.left.set(target.id, {at: this.options.readNow(), position});
     this.options.onChange('target_removed', target, source);
   }
 }
--- a/packages/direct/src/peers/facts-exchange.test.ts
+++ b/packages/direct/src/peers/facts-exchange.test.ts
@@ -11,19 +11,19 @@
 import type {AddressInfo, Server, Socket} from 'node:net';
 import type {SharedFacts} from '../fleet/fleet-state.js';
 
-/** Routes of a configuration larger than socket buffers. */
+/** Number of routes that makes a configuration larger than socket buffers. */
 const ROUTE_COUNT = 30_000;
 
-/** Peers that ask at once. */
+/** Number of peers that ask at the same time. */
 const CLIENT_COUNT = 6;
 
-/** Peers that are sent a configuration at the same time. */
+/** Maximum number of peers that are sent a configuration at the same time. */
 const MAX_CONCURRENT_TRANSFERS = 2;
 
-/** Longer than any test, in ms: clients pause on purpose. */
+/** Idle timeout longer than any test, in ms; clients stop reading on purpose. */
 const TEST_IDLE_MS = 60_000;
 
-describe('handing facts to other gates', () => {
+describe('facts server', () => {
   const sockets: Socket[] = [];
   let output: PassThrough;
   let server: Server;
@@ -60,7 +60,7 @@
     return socket;
   }
 
-  /** Asks, and takes only the first bytes of the answer. */
+  /** Asks for facts, and stops reading after the first bytes of the answer. */
   async function askAndPause(known: object): Promise<string> {
     const socket = await openClient();
     const params = JSON.stringify(known);
@@ -81,7 +81,7 @@
     return (JSON.parse(text) as {result: SharedFacts}).result;
   }
 
-  /** Waits until the gate has seen `count` connections close. */
+  /** Waits until the gate has logged `count` failed connections. */
   async function waitForResets(count: number): Promise<void> {
     let log = '';
     for (;;) {
@@ -91,9 +91,9 @@
     }
   }
 
-  it('goes on when those that asked hang up in the middle', async () => {
-    // Guards against a gate that ends when peers reset connections it is
-    // writing to.
+  it('keeps serving after peers reset their connections during a transfer', async () => {
+    // Guards against an uncaught error, which ends the gate, when peers reset
+    // connections that the gate is writing to.
     const unhandled: string[] = [];
     const record = ({message}: Error) => unhandled.push(message);
     process.on('uncaughtException', record);
@@ -105,9 +105,9 @@
     expect((await askForFacts({})).config?.version).toEqual(7);
   });
 
-  it('serves two at a time and sends the others elsewhere', async () => {
-    // Guards against a gate whose link is filled by copies for all peers at
-    // once.
+  it('sends a configuration to two peers at a time and refuses others as busy', async () => {
+    // Guards against a link that is saturated by concurrent transfers to all
+    // peers.
     const answers: string[] = [];
     for (let i = 0; i < CLIENT_COUNT; i++) answers.push(await askAndPause({}));
     const served = answers.filter(answer => answer.includes('"result"'));
@@ -116,8 +116,8 @@
     expect(refused.length).toEqual(CLIENT_COUNT - MAX_CONCURRENT_TRANSFERS);
   });
 
-  it('serves the next one when one has what it asked for', async () => {
-    // Guards against connections that are counted after they have closed.
+  it('serves the next peer after a peer has closed its connection', async () => {
+    // Guards against closed connections that still count as transfers.
     for (let i = 0; i < CLIENT_COUNT; i++) {
       expect((await askForFacts({})).config?.version).toEqual(7);
       sockets[i].destroy();
@@ -125,8 +125,9 @@
     }
   });
 
-  it('releases the slot of a client that closed before its answer', async () => {
-    // Guards against a link that closes while its answer is being made.
+  it('releases the slot of a connection that closes before its answer is sent', async () => {
+    // Guards against a slot that is never released because a malformed line
+    // closes the connection while the answer is prepared.
     for (let i = 0; i < MAX_CONCURRENT_TRANSFERS; i++) {
       const socket = await openClient();
       socket.write('{"jsonrpc":"2.0","id":1,"method":"read-facts"}\n{{\n');
@@ -136,8 +137,9 @@
     expect((await askForFacts({})).config?.version).toEqual(7);
   });
 
-  it('leaves out the configuration that the peer has', async () => {
-    // Guards against a whole configuration for a peer that lacks one target.
+  it('omits the configuration when the peer already has the same version', async () => {
+    // Guards against sending the configuration to a peer that lacks only a
+    // target.
     const facts = await askForFacts({configVersion: 7, position: NO_POSITION});
     expect(facts.config === undefined).toEqual(true);
   });
--- a/packages/direct/src/peers/facts-exchange.ts
+++ b/packages/direct/src/peers/facts-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Hands configuration and targets from gate to gate over JSON-RPC. Each
- * exchange has a connection of its own, which the client closes.
+ * Transfers facts (the configuration and the targets) between gates over
+ * JSON-RPC. Each transfer has a connection of its own, which the client closes.
  */
 import {createServer} from 'node:net';
 import {
@@ -22,31 +22,33 @@
 } from '../fleet/fleet-state.js';
 import type {DecisionLog} from '../observe/decision-log.js';
 
-/** Connection timeout, in ms: well above the round trip within a region. */
+/** Connect timeout, in ms; well above the round-trip time within a region. */
 const CONNECT_TIMEOUT_MS = 400;
 
 /**
- * Idle timeout of an exchange, in ms: above one retransmission. Its total time
- * depends on the size of the configuration and on the link.
+ * Idle timeout of a transfer, in ms; above one TCP retransmission. A transfer
+ * has no shorter total bound because its duration depends on the size of the
+ * configuration and on the link.
  */
 const IDLE_TIMEOUT_MS = 1000;
 
-/** Longest exchange before another gate is asked, in ms. */
+/** Timeout of a transfer, in ms, after which another gate can be asked. */
 const FETCH_TIMEOUT_MS = 5000;
 
-/** Method that returns facts. */
+/** JSON-RPC method that returns facts. */
 const READ_FACTS = 'read-facts';
 
-/** Error code of a gate that serves as many peers as it can. */
+/** Error code of a gate that already serves its maximum number of peers. */
 const BUSY_CODE = 1;
 
 /**
- * Peers that are sent a configuration at the same time: more copies would fill
- * a slow link, and each peer that has one hands it on.
+ * Maximum number of peers that are sent a configuration at the same time. More
+ * concurrent transfers would saturate a slow link, and each peer that has the
+ * configuration also serves it to others.
  */
 const MAX_CONCURRENT_TRANSFERS = 2;
 
-/** Dependencies of the server. */
+/** Dependencies of the server that sends facts to peers. */
 export interface FactsServerOptions {
   readonly address: ListenAddress;
   readonly state: FleetState;
@@ -61,7 +63,7 @@
 }
 
 /**
- * Listens for peers that ask for facts.
+ * Opens the server that sends facts to peers.
  *
  * @example
  * const server = await openFactsServer({address, state, log, readNow});
@@ -79,7 +81,7 @@
     link.handle(READ_FACTS, params => {
       const known = toKnownFacts(params);
       const facts = state.describeShared(known);
-      // The list of targets is small, so it needs no slot.
+      // The list of targets is small, so it does not count as a transfer.
       if (facts.config === undefined) return facts;
       if (transfers.size < MAX_CONCURRENT_TRANSFERS) {
         transfers.add(connection);
@@ -94,7 +96,10 @@
   return server;
 }
 
-/** Logs the peer, the bytes queued for it, and whether it closed early. */
+/**
+ * Logs the end of a connection: the peer, the bytes queued for it, and whether
+ * the connection failed.
+ */
 function observeTransfer(
   connection: Socket,
   {log, readNow}: FactsServerOptions,
@@ -112,11 +117,12 @@
 }
 
 /**
- * Fetches the facts that are newer than the known ones.
+ * Fetches facts from a peer that are newer than the known ones.
  *
- * @param address - Where it listens, `host:port`.
- * @throws FactsBusyError if it serves others; RpcClosedError or
- *   RpcFailedError without an answer; DecodeError for a malformed one.
+ * @param address - Address of the peer, `host:port`.
+ * @throws FactsBusyError if the peer already serves its maximum number of gates;
+ *   RpcClosedError or RpcFailedError if it does not answer; DecodeError if its
+ *   answer is malformed.
  * @example
  * state.applyShared(await fetchSharedFacts('10.1.0.4:7340', known));
  */
@@ -143,7 +149,7 @@
   } catch (error) {
     if (findRefusalCode(error) === BUSY_CODE)
       throw new FactsBusyError(
-        `gate ${address} serves as many gates as it can`,
+        `gate ${address} already serves its maximum number of gates`,
         error as Error,
       );
     throw error;
--- a/packages/direct/src/peers/facts-fetcher.test.ts
+++ b/packages/direct/src/peers/facts-fetcher.test.ts
@@ -10,22 +10,22 @@
 import {createFactsFetcher} from './facts-fetcher.js';
 import type {SharedFacts} from '../fleet/fleet-state.js';
 
-/** Time in which a configuration must be in force at all gates, in ms. */
+/** Longest time until all gates apply a new configuration, in ms. */
 const PROPAGATION_LIMIT_MS = 2000;
 
-/** Delay of the heartbeat that announces news, in ms. */
+/** Delay of the heartbeat that announces a new configuration, in ms. */
 const ANNOUNCEMENT_DELAY_MS = 100;
 
-/** Peers that one gate serves at a time. */
+/** Maximum number of peers that one gate serves at the same time. */
 const MAX_CONCURRENT_TRANSFERS = 2;
 
-/** Gates of a large deployment. */
+/** Largest number of gates in a simulated fleet. */
 const MAX_GATES = 30;
 
-/** Time of one copy over a fast link, in ms. */
+/** Longest time of one transfer over a fast idle link, in ms. */
 const MAX_TRANSFER_MS = 60;
 
-/** Seeded uniform numbers in [0, 1). */
+/** Creates a seeded generator of uniform numbers in [0, 1). */
 function createRandom(seed: number): () => number {
   let state = seed;
   return () => {
@@ -34,7 +34,7 @@
   };
 }
 
-/** Virtual clock: waiters resume in order of time. */
+/** Virtual clock that resumes waiters in order of their time. */
 class VirtualClock {
   now = 0;
   private readonly queue: Array<{
@@ -47,7 +47,7 @@
 
   async run(isOver: () => boolean): Promise<void> {
     for (;;) {
-      // Lets everything that follows from the last step happen.
+      // Runs all pending continuations before the clock advances.
       await new Promise(resolve => setImmediate(resolve));
       if (isOver() || this.queue.length === 0) return;
       this.queue.sort((a, b) => a.at - b.at);
@@ -71,7 +71,7 @@
   });
 }
 
-/** A fetcher whose answers are scripted by host. */
+/** Creates a fetcher with scripted answers of peers by host. */
 function createHarness(
   answers: Readonly<Record<string, () => Promise<SharedFacts>>>,
   random: () => number = () => 0,
@@ -106,12 +106,12 @@
   held: [],
 };
 const sendFacts = () => Promise.resolve(FACTS);
-const refuseBusy = () => Promise.reject(new FactsBusyError('busy'));
+const refuse = () => Promise.reject(new FactsBusyError('busy'));
 const dropRequest = () => Promise.reject(new StoreUnavailableError('gone'));
 
-describe('fetching facts from other gates', () => {
-  it('leaves it to the store while that is only slow', async () => {
-    // Guards against copies that the store's own answer makes useless.
+describe('facts fetcher', () => {
+  it('asks no peer when the store delivers the facts during the delay', async () => {
+    // Guards against needless transfers of facts that the store delivers too.
     const {clock, state, asked, fetcher} = createHarness({a: sendFacts});
     fetcher.schedule();
     state.applyChange({kind: 'config', config: buildConfig(7)});
@@ -119,35 +119,35 @@
     expect(asked).toEqual([]);
   });
 
-  it('asks at once while the store does not answer it', async () => {
-    // Guards against a gate that hears of a removal too late because it waits
-    // for a silent store.
-    const world = createHarness({a: sendFacts}, () => 0.99, true);
-    world.fetcher.schedule();
-    await world.clock.run(() => false);
-    expect(world.asked).toEqual(['a']);
-    expect(world.clock.now).toBeLessThan(200);
+  it('asks a peer within 200 ms while the store does not answer', async () => {
+    // Guards against a gate that learns of a removal too late because it waits
+    // for a store that does not answer.
+    const harness = createHarness({a: sendFacts}, () => 0.99, true);
+    harness.fetcher.schedule();
+    await harness.clock.run(() => false);
+    expect(harness.asked).toEqual(['a']);
+    expect(harness.clock.now).toBeLessThan(200);
   });
 
-  it('asks any of the gates that are ahead', async () => {
+  it('picks a random peer among those with newer facts', async () => {
     // Guards against gates that all ask the same peer.
     const asked = new Set<string>();
     for (const part of [0, 0.4, 0.9]) {
-      const world = createHarness(
+      const harness = createHarness(
         {a: sendFacts, b: sendFacts, c: sendFacts},
         () => part,
       );
-      world.fetcher.schedule();
-      await world.clock.run(() => false);
-      for (const host of world.asked) asked.add(host);
+      harness.fetcher.schedule();
+      await harness.clock.run(() => false);
+      for (const host of harness.asked) asked.add(host);
     }
     expect([...asked]).toEqual(['a', 'b', 'c']);
   });
 
-  it('asks again after a gate that serves others', async () => {
+  it('retries a peer that answers that it is busy', async () => {
     let refusals = 2;
     const {clock, state, asked, fetcher} = createHarness({
-      a: () => (refusals-- > 0 ? refuseBusy() : sendFacts()),
+      a: () => (refusals-- > 0 ? refuse() : sendFacts()),
     });
     fetcher.schedule();
     await clock.run(() => false);
@@ -155,8 +155,9 @@
     expect(state.config?.version).toEqual(7);
   });
 
-  it('goes on to another gate when one is gone', async () => {
-    // Guards against a peer that loses power after its last heartbeat.
+  it('asks another peer after a request to the first peer has failed', async () => {
+    // Guards against giving up because a peer lost power after its last
+    // heartbeat.
     const {clock, state, asked, lines, fetcher} = createHarness({
       a: dropRequest,
       b: sendFacts,
@@ -170,8 +171,8 @@
     );
   });
 
-  it('ends when nobody gives anything, and starts anew when told', async () => {
-    const {clock, asked, fetcher} = createHarness({a: refuseBusy});
+  it('stops after a bounded number of busy answers and asks again when scheduled again', async () => {
+    const {clock, asked, fetcher} = createHarness({a: refuse});
     fetcher.schedule();
     fetcher.schedule();
     await clock.run(() => false);
@@ -182,22 +183,22 @@
   });
 });
 
-/** A fleet in which one gate has news, in virtual time. */
+/** Simulates in virtual time a fleet in which one gate has a new configuration. */
 class PropagationFleet {
   readonly clock = new VirtualClock();
-  /** Copies that each gate has sent. */
+  /** Number of transfers that each gate has sent. */
   readonly transferCounts = new Map<string, number>();
   private readonly configKnownAt = new Map<string, number>([['0', 0]]);
   private readonly activeTransfers = new Map<string, number>();
 
-  /** @param transferMs - Time of one copy over an idle link. */
+  /** @param transferMs - Time of one transfer over an idle link, in ms. */
   constructor(
     private readonly count: number,
     private readonly transferMs: number,
     private readonly random: () => number,
   ) {}
 
-  /** Runs until every gate has the news; returns the time taken, in ms. */
+  /** Runs until every gate has the configuration; returns the time taken, in ms. */
   async run(): Promise<number> {
     for (let i = 1; i < this.count; i++) void this.runGate(String(i));
     await this.clock.run(() => this.configKnownAt.size === this.count);
@@ -236,27 +237,33 @@
     if (busy >= MAX_CONCURRENT_TRANSFERS) throw new FactsBusyError('busy');
     this.activeTransfers.set(host, busy + 1);
     this.transferCounts.set(host, (this.transferCounts.get(host) ?? 0) + 1);
-    // Concurrent copies share the link.
+    // Concurrent transfers share the link.
     await this.clock.wait(this.transferMs * (busy + 1));
     this.activeTransfers.set(host, (this.activeTransfers.get(host) ?? 0) - 1);
     return FACTS;
   }
 }
 
-describe('a configuration that one gate alone has', () => {
-  it('reaches every gate in time, with one copy for each', async () => {
-    // Guards against gates without the store that never get a large
+describe('propagation of a configuration that only one gate has', () => {
+  it('reaches every gate within 2,000 ms with one transfer for each', async () => {
+    // Guards against gates without the store that never receive a large
     // configuration.
     await fc.assert(
       fc.asyncProperty(
         fc.integer({min: 2, max: MAX_GATES}),
         fc.integer({min: 5, max: MAX_TRANSFER_MS}),
         fc.integer({min: 1}),
-        async (count, copyMs, seed) => {
-          const fleet = new PropagationFleet(count, copyMs, createRandom(seed));
+        async (count, transferMs, seed) => {
+          const fleet = new PropagationFleet(
+            count,
+            transferMs,
+            createRandom(seed),
+          );
           const tookMs = await fleet.run();
-          const copies = [...fleet.transferCounts.values()];
-          expect(copies.reduce((sum, n) => sum + n, 0)).toEqual(count - 1);
+          const transferCounts = [...fleet.transferCounts.values()];
+          expect(transferCounts.reduce((sum, n) => sum + n, 0)).toEqual(
+            count - 1,
+          );
           expect(tookMs).toBeLessThanOrEqual(PROPAGATION_LIMIT_MS);
         },
       ),
--- a/packages/direct/src/peers/facts-fetcher.ts
+++ b/packages/direct/src/peers/facts-fetcher.ts
@@ -1,9 +1,9 @@
 /**
- * Fetches newer facts from a peer when the store is slow, down, or refuses this
- * gate.
+ * Fetches newer facts from peers when the store is slow, down, or unreachable
+ * for this gate.
  */
 import {DecodeError, FactsBusyError} from '../errors.js';
-import {waitUnref} from './wait-idly.js';
+import {waitUnref} from './wait-unref.js';
 import type {
   FleetState,
   SharedFacts,
@@ -12,42 +12,46 @@
 import type {DecisionLog} from '../observe/decision-log.js';
 
 /**
- * How long a peer may be ahead before it is asked, in ms: the watch of this
- * gate usually delivers first.
+ * Delay before a peer with newer facts is asked for them, in ms; within this
+ * time the watch of this gate usually delivers the same facts.
  */
 const FETCH_DELAY_MS = 400;
 
-/** Jitter added to it, in ms, so that gates do not ask at the same moment. */
+/** Jitter added to the delay, in ms, which keeps gates from asking all at once. */
 const FETCH_JITTER_MS = 400;
 
-/** Jitter while the store does not answer this gate, in ms. */
+/** Jitter that replaces the delay while the store does not answer, in ms. */
 const STORE_SILENT_JITTER_MS = 150;
 
-/** Pause after a busy answer, in ms, and its jitter. */
+/** Delay between two requests, in ms, and the jitter added to it, in ms. */
 const RETRY_DELAY_MS = 100;
 const RETRY_JITTER_MS = 150;
 
-/** Most requests in a row; a later heartbeat starts again. */
+/** Maximum number of requests of one run; a later heartbeat starts another. */
 const MAX_REQUESTS = 10;
 
 /** Dependencies of the fetcher. */
 export interface FactsFetcherOptions {
   readonly state: FleetState;
-  /** True while the store has not answered this gate for too long. */
+  /** Returns whether the last answer from the store is too old. */
   readonly isStoreSilent: () => boolean;
-  /** Hosts of live peers with newer facts. */
+  /** Lists the hosts of live peers that have newer facts than this gate. */
   readonly listUpdateSources: () => readonly string[];
   readonly fetch: (host: string, known: FactVersions) => Promise<SharedFacts>;
   readonly log: DecisionLog;
   readonly readNow: () => number;
-  /** Uniform in [0, 1). */
+  /** Returns a uniform random number in [0, 1). */
   readonly random: () => number;
-  /** Waits; injected by tests. */
+  /**
+   * Waits for a time in ms; tests replace it.
+   *
+   * @default waitUnref
+   */
   readonly wait?: (ms: number) => Promise<void>;
 }
 
 /**
- * The fetcher of one gate.
+ * Fetches newer facts from the peers of one gate.
  *
  * @example
  * const fetcher = createFactsFetcher(options);
@@ -58,7 +62,10 @@
 
   constructor(private readonly options: FactsFetcherOptions) {}
 
-  /** Schedules a fetch, unless the store is faster. */
+  /**
+   * Schedules a fetch after a delay, unless one is scheduled or running. Nothing
+   * is fetched if the store delivers the facts during the delay.
+   */
   schedule(): void {
     if (this.isRunning) return;
     this.isRunning = true;
@@ -70,7 +77,8 @@
     if (isStoreSilent()) await this.wait(0, STORE_SILENT_JITTER_MS);
     else await this.wait(FETCH_DELAY_MS, FETCH_JITTER_MS);
     const failed = new Set<string>();
-    // One answer may bring only a part: no peer needs to have all the news.
+    // An answer may be partial, because a single peer need not have both the
+    // newest configuration and the newest targets.
     for (let requestCount = 0; requestCount < MAX_REQUESTS; requestCount++) {
       const host = this.pickUpdateSource(failed);
       if (host === undefined) return;
@@ -80,14 +88,14 @@
     }
   }
 
-  /** A random peer, so that gates spread over all that are ahead. */
+  /** Picks a random peer with newer facts, which spreads the load over them. */
   private pickUpdateSource(failed: ReadonlySet<string>): string | undefined {
     const {listUpdateSources, random} = this.options;
     const hosts = listUpdateSources().filter(host => !failed.has(host));
     return hosts[Math.floor(random() * hosts.length)];
   }
 
-  /** Returns whether another peer may be asked after this one. */
+  /** Fetches from one peer; returns whether another request is worthwhile. */
   private async tryFetch(host: string, failed: Set<string>): Promise<boolean> {
     const {state, fetch, log, readNow} = this.options;
     const startedAt = readNow();
@@ -106,7 +114,8 @@
         ms: readElapsedMs(),
         reason,
       });
-      // Peers of another version would all send the same facts.
+      // Facts that cannot be decoded come from another version of the gate, and
+      // other peers would send the same.
       return !(error instanceof DecodeError);
     }
     log.info('facts_from_peer', {
@@ -125,7 +134,7 @@
 }
 
 /**
- * Creates a fetcher.
+ * Creates a fetcher; `schedule` starts a fetch.
  *
  * @example
  * const fetcher = createFactsFetcher(options);
--- a/packages/direct/src/peers/facts-guards.test.ts
+++ b/packages/direct/src/peers/facts-guards.test.ts
@@ -14,7 +14,7 @@
 import {createFactsFetcher} from './facts-fetcher.js';
 import type {AddressInfo, Server} from 'node:net';
 
-/** Peers that are sent a configuration at the same time. */
+/** Maximum number of peers that are sent a configuration at the same time. */
 const MAX_CONCURRENT_TRANSFERS = 2;
 
 /** Idle timeout of the tested gate, in ms. */
@@ -32,8 +32,8 @@
   throw new Error(`not within ${limitMs} ms`);
 }
 
-describe('gates that hear the same news', () => {
-  /** Records when a gate requests for the first and the second time, in ms. */
+describe('jitter of the facts fetcher', () => {
+  /** Records the times of the first and second request of a gate, in ms. */
   async function recordRequests(
     random: () => number,
   ): Promise<readonly number[]> {
@@ -61,22 +61,18 @@
     return requests;
   }
 
-  it('ask at different times, and again at different times', async () => {
-    // Guards against gates that ask at the same moment.
-    const withoutJitter = await recordRequests(() => 0);
-    const withMaxJitter = await recordRequests(() => 0.999);
-    expect(withoutJitter[0]).toEqual(400);
-    expect(withMaxJitter[0]).toBeGreaterThan(790);
-    expect(withMaxJitter[0]).toBeLessThanOrEqual(800);
-    expect(
-      withMaxJitter[1] -
-        withMaxJitter[0] -
-        (withoutJitter[1] - withoutJitter[0]),
-    ).toBeGreaterThan(100);
+  it('spreads the first requests of gates and also their retries', async () => {
+    // Guards against gates that all ask a peer at the same time.
+    const early = await recordRequests(() => 0);
+    const late = await recordRequests(() => 0.999);
+    expect(early[0]).toEqual(400);
+    expect(late[0]).toBeGreaterThan(790);
+    expect(late[0]).toBeLessThanOrEqual(800);
+    expect(late[1] - late[0] - (early[1] - early[0])).toBeGreaterThan(100);
   });
 });
 
-describe('peers that have gone silent', () => {
+describe('facts exchange with unresponsive or busy peers', () => {
   const open: Array<{destroy(): void}> = [];
   const servers: Server[] = [];
 
@@ -100,7 +96,7 @@
     return `127.0.0.1:${(server.address() as AddressInfo).port}`;
   }
 
-  /** Opens a gate whose slots are taken by silent peers. */
+  /** Opens a gate whose slots are all taken by peers that stop reading. */
   async function openBusyGate(): Promise<string> {
     const address = await openGate();
     const [host, port] = address.split(':');
@@ -115,16 +111,16 @@
     return address;
   }
 
-  it('release their slot at the gate that they asked', async () => {
-    // Guards against frozen peers that hold their slots for good.
+  it('releases the slots of peers that stop reading after the idle timeout', async () => {
+    // Guards against suspended peers that occupy their slots forever.
     const address = await openBusyGate();
     await new Promise(resolve => setTimeout(resolve, 3 * IDLE_TIMEOUT_MS));
     const facts = await fetchSharedFacts(address, NO_FACTS_KNOWN);
     expect(facts.config?.version).toEqual(7);
   });
 
-  it('are not those that have what they asked for', async () => {
-    // Guards against a peer that holds its slot after the answer.
+  it('releases the slot of a peer once its transfer is complete', async () => {
+    // Guards against a peer that occupies its slot after the answer.
     const address = await openGate();
     for (let i = 0; i <= MAX_CONCURRENT_TRANSFERS; i++) {
       const facts = await fetchSharedFacts(address, NO_FACTS_KNOWN);
@@ -132,24 +128,23 @@
     }
   });
 
-  it('are told apart from a gate that serves others', async () => {
+  it('fails with FactsBusyError when all slots of the peer are taken', async () => {
     // Guards against treating a busy peer as a failed one.
     const known = {configVersion: 0, position: buildPosition(1000)};
     const waiting = fetchSharedFacts(await openBusyGate(), known);
     await expect(waiting).toBeRejectedWith(FactsBusyError);
   });
 
-  it('keep no gate from its list of targets', async () => {
-    // Guards against withholding the small list of targets from a busy gate's
-    // peers.
+  it('sends the list of targets even when all slots are taken', async () => {
+    // Guards against a busy gate that withholds the small list of targets.
     const known = {configVersion: 7, position: NO_POSITION};
     const facts = await fetchSharedFacts(await openBusyGate(), known);
     expect(facts.config === undefined).toEqual(true);
     expect(facts.targets.map(({id}) => id)).toEqual(['t']);
   });
 
-  it('are given up after a second of silence', async () => {
-    // Guards against a frozen peer that delays the fetch without end.
+  it('fails with RpcClosedError when the peer sends nothing for 1,000 ms', async () => {
+    // Guards against a suspended peer that delays the fetch forever.
     const server = createServer(socket => open.push(socket));
     servers.push(server);
     server.listen(0, '127.0.0.1');
@@ -162,9 +157,9 @@
   });
 });
 
-describe('facts of a gate of another version', () => {
-  it('are refused as they arrive when a figure was lost', async () => {
-    // Guards against non-finite figures, which JSON turns into null.
+describe('facts from a gate of another version', () => {
+  it('are rejected with DecodeError when a number is null', async () => {
+    // Guards against non-finite numbers, which JSON turns into null.
     const server = createServer(socket => {
       const facts = {
         position: buildPosition(3),
@@ -185,9 +180,9 @@
   });
 });
 
-describe('facts of a gate that is ahead by a configuration alone', () => {
-  it('take away no target, however old its entry', () => {
-    // Guards against an answer without targets that removes all of them.
+describe('facts from a gate that has only a newer configuration', () => {
+  it('remove no target of the receiving gate, whether its entry is older or newer', () => {
+    // Guards against an answer without targets that removes all known targets.
     const newerState = createFleetState(() => 0);
     newerState.applyChange({kind: 'config', config: buildConfig(7)});
     newerState.applyChange({kind: 'target', target: buildTarget('b', 9)});
--- a/packages/direct/src/peers/facts-hand-over.test.ts
+++ b/packages/direct/src/peers/facts-hand-over.test.ts
@@ -13,13 +13,13 @@
 import type {AddressInfo, Server, Socket} from 'node:net';
 import type {FleetState, SharedFacts} from '../fleet/fleet-state.js';
 
-/** Routes of a configuration larger than any link sends at once. */
+/** Number of routes that makes a configuration larger than any socket buffer. */
 const ROUTE_COUNT = 100_000;
 
-/** Peers that are sent a configuration at the same time. */
+/** Maximum number of peers that are sent a configuration at the same time. */
 const MAX_CONCURRENT_TRANSFERS = 2;
 
-/** Longer than any test, in ms: clients pause on purpose. */
+/** Idle timeout longer than any test, in ms; clients stop reading on purpose. */
 const TEST_IDLE_MS = 60_000;
 
 function createLog(output = new PassThrough()) {
@@ -27,7 +27,7 @@
   return createDecisionLog({proc: 'g', output, readWallMs: Date.now});
 }
 
-/** Runs a fetcher to its end without waiting. */
+/** Runs a fetcher with 5 ms delays until it has sent no request for 200 ms. */
 async function runFetcher(
   state: FleetState,
   listUpdateSources: () => readonly string[],
@@ -52,10 +52,10 @@
     await new Promise(resolve => setTimeout(resolve, 20));
 }
 
-describe('a gate that is behind by a server and a configuration', () => {
-  it('goes on to the gate with the configuration', async () => {
+describe('facts fetcher of a gate that lacks a target and a configuration', () => {
+  it('asks a second peer for the configuration after the first sent only the target', async () => {
     // Guards against a gate that stops after one answer although another peer
-    // knows more.
+    // has newer facts.
     const state = createFleetState(() => 0);
     state.applyChange({kind: 'config', config: buildConfig(6)});
     const news = {
@@ -81,7 +81,7 @@
   });
 });
 
-describe('a gate whose slots are taken', () => {
+describe('facts server whose slots are all taken', () => {
   const sockets: Socket[] = [];
   let output: PassThrough;
   let server: Server;
@@ -111,7 +111,7 @@
     server.close();
   });
 
-  /** Asks, and takes only the first bytes of the answer. */
+  /** Asks for facts, and stops reading after the first bytes of the answer. */
   async function askAndPause(): Promise<void> {
     const [host, port] = address.split(':');
     const socket = connect(Number(port), host);
@@ -124,9 +124,9 @@
     socket.pause();
   }
 
-  it('still hands out its list of targets', async () => {
-    // Guards against a busy gate that refuses the small list of targets as
-    // well.
+  it('still sends its list of targets', async () => {
+    // Guards against a busy gate that refuses to send even the small list of
+    // targets.
     for (let i = 0; i < MAX_CONCURRENT_TRANSFERS; i++) await askAndPause();
     const ownState = createFleetState(() => 0);
     const listUpdateSources = () =>
@@ -137,8 +137,8 @@
     expect(ownState.findTarget('t')?.id).toEqual('t');
   });
 
-  it('says what was queued for one that hung up', async () => {
-    // Guards against a log line that reports queued bytes as sent.
+  it('logs the bytes queued for a peer that reset its connection', async () => {
+    // Guards against a log line that reports queued bytes as sent bytes.
     await askAndPause();
     const [socket] = sockets;
     const closed = once(output, 'readable');
--- a/packages/direct/src/peers/messages.ts
+++ b/packages/direct/src/peers/messages.ts
@@ -1,16 +1,16 @@
 /**
- * Messages between gates: JSON-RPC notifications in datagrams. The next
- * heartbeat makes up for a lost one.
+ * Messages between gates: JSON-RPC notifications in UDP datagrams. A lost
+ * datagram is made up for by the next heartbeat.
  */
 import {z} from 'zod';
 import type {Placement} from '../placement/load-tracker.js';
 
-/** A placement on the wire; ages replace clock readings. */
+/** Wire form of a placement; it holds ages, because clocks of gates differ. */
 export const WirePlacementSchema = z.object({
   key: z.string(),
   decoder: z.string(),
   targets: z.array(z.string()),
-  /** One for each target, or a single one for all. */
+  /** Prefill time of each target, or a single value if all are equal, in ms. */
   prefillMs: z.array(z.number()),
   promptTokens: z.number(),
   kvTokens: z.number(),
@@ -29,30 +29,30 @@
   from: z.string(),
   incarnation: z.string(),
   configVersion: z.number(),
-  /** Position of its facts. */
+  /** Era and revision form the position of the sender's facts. */
   era: z.number(),
   revision: z.number(),
-  /** Age of the sender's last answer from the store, in ms. */
+  /** Age of the last answer that the sender got from the store, in ms. */
   factsAgeMs: z.number(),
   /**
    * Time for which the store has answered the sender without an outage, in ms;
-   * 0 in one.
+   * 0 during an outage.
    */
   contactMs: z.number().default(0),
   /** Hosts of the gates that the sender knows. */
   peers: z.array(z.string()),
   /**
-   * Numbers of the sender's open streams, and of those past prefill. Whole
-   * placements are sent on request only, which keeps heartbeats small.
+   * Placement numbers of the sender's open streams, and of those past prefill.
+   * Complete placements are sent on request only, which keeps heartbeats small.
    */
   open: z.array(z.number()),
   begun: z.array(z.number()),
   placements: z.array(WirePlacementSchema),
-  /** Slow engines among those that the sender polls. */
+  /** Slowdowns of the engines that the sender polls. */
   slowdowns: z.array(
     z.object({target: z.string(), slowdown: z.number().positive()}),
   ),
-  /** True when the sender asks for a heartbeat in return. */
+  /** Whether the sender asks for a heartbeat in return. */
   wantsReply: z.boolean(),
   leaves: z.boolean(),
 });
@@ -62,7 +62,7 @@
 
 const JSON_RPC = z.literal('2.0');
 
-/** Every datagram that a gate accepts. */
+/** All datagrams that a gate accepts. */
 export const DatagramSchema = z.discriminatedUnion('method', [
   z.object({
     jsonrpc: JSON_RPC,
@@ -123,7 +123,7 @@
 }
 
 /**
- * Converts the wire form to a placement.
+ * Converts the wire form of a placement to a placement.
  *
  * @example
  * tracker.add(toPlacement(wire, performance.now()), wire.begun);
--- a/packages/direct/src/peers/peer-group.test.ts
+++ b/packages/direct/src/peers/peer-group.test.ts
@@ -21,7 +21,7 @@
   readonly group: PeerGroup;
   readonly tracker: LoadTracker;
   readonly state: FleetState;
-  /** Time for which the store has answered it, in ms. */
+  /** Time for which the store has answered the gate without an outage, in ms. */
   contactMs: number;
 }
 
@@ -70,7 +70,8 @@
 async function waitUntil(check: () => boolean): Promise<void> {
   const giveUpAt = performance.now() + 4000;
   while (!check()) {
-    if (performance.now() > giveUpAt) throw new Error('still not so');
+    if (performance.now() > giveUpAt)
+      throw new Error('condition not met within 4,000 ms');
     await new Promise(resolve => setTimeout(resolve, 10));
   }
 }
@@ -97,11 +98,11 @@
   const isKnown = (member: Member) =>
     member.tracker.describe('e2', performance.now()).backlogMs > 0;
 
-  it('finds the others although a seed is down', () => {
+  it('discovers the other gates when one seed is down', () => {
     expect(one.group.countGates()).toEqual(2);
   });
 
-  it('knows what another gate has placed, and its end', async () => {
+  it('counts the placement of a peer as load until the peer announces its end', async () => {
     // Guards against two gates that place long prompts on the same idle engine.
     const placement = buildPlacement(one, 1);
     one.tracker.add(placement);
@@ -112,7 +113,7 @@
     await waitUntil(() => !isKnown(two));
   });
 
-  it('forgets an ended stream whose notice was lost', async () => {
+  it('removes a placement that has ended even when the end was not announced', async () => {
     const placement = buildPlacement(one, 1);
     one.tracker.add(placement);
     one.group.announcePlaced(placement);
@@ -123,8 +124,8 @@
     );
   });
 
-  it('tells a gate that joins what is under way', async () => {
-    // Guards against a restarted gate that takes busy engines for idle.
+  it('sends open placements to a gate that joins', async () => {
+    // Guards against a restarted gate that treats busy engines as idle.
     const placement = buildPlacement(one, 1);
     one.tracker.add(placement);
     const three = buildMember(hosts[2], [hosts[0]]);
@@ -138,8 +139,8 @@
     }
   });
 
-  it('brings a configuration to gates that the store turns away', async () => {
-    // Guards against old routes at gates that the store does not answer.
+  it('propagates a configuration to gates that cannot reach the store', async () => {
+    // Guards against outdated routes at gates that cannot reach the store.
     const three = buildMember(hosts[2], [hosts[0]]);
     await three.group.start();
     try {
@@ -152,7 +153,7 @@
     }
   });
 
-  it('tells at once of a configuration that another gate gave it', async () => {
+  it('announces a configuration received from a peer before the next regular heartbeat', async () => {
     // Guards against a single source while many gates lack the configuration.
     const listener = createSocket('udp4');
     listener.bind(PORT, hosts[2]);
@@ -175,7 +176,7 @@
         held: [],
         doubts: [],
       });
-      // Its own next heartbeat is due after 1,000 ms.
+      // The next regular heartbeat is due after 1,000 ms.
       expect((await waitForHeartbeat(7)) - before).toBeLessThan(700);
     } finally {
       listener.close();
--- a/packages/direct/src/peers/peer-group.ts
+++ b/packages/direct/src/peers/peer-group.ts
@@ -1,8 +1,8 @@
 /**
- * Membership and gossip among the gates: heartbeats, placements, and who has
- * newer facts. Gates are found through seeds, which may be stale or down; known
- * hosts are contacted for a while after they fall silent, so a restarted gate
- * is found without seeds.
+ * Membership and gossip among gates: heartbeats, placements, and the versions
+ * of known facts. Gates are discovered through seeds, which may be outdated or
+ * down. Known hosts are still contacted for a while after their heartbeats have
+ * stopped, so that a restarted gate is found without seeds.
  */
 import {createSocket} from 'node:dgram';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -23,27 +23,30 @@
 import type {Heartbeat, Datagram} from './messages.js';
 import type {Peer} from './peer-table.js';
 
-/** Period of the heartbeats, in ms. */
+/** Interval between heartbeats, in ms. */
 const HEARTBEAT_MS = 1000;
 
-/** Shortest time between heartbeats that news triggers, in ms. */
+/**
+ * Delay before a heartbeat that announces a change of facts, in ms; changes
+ * within it share one heartbeat.
+ */
 const CHANGE_HEARTBEAT_DELAY_MS = 100;
 
 /**
- * Age of the store's last answer from which it counts as silent, in ms: above
- * one long poll.
+ * Age of the last answer above which the store counts as silent, in ms; longer
+ * than one long poll.
  */
 const STORE_SILENT_MS = 3000;
 
-/** Time for the last messages to leave, in ms. */
+/** Time for the last datagrams to be sent before the socket closes, in ms. */
 const LEAVE_FLUSH_MS = 30;
 
 /** Dependencies of a peer group. */
 export interface PeerGroupOptions {
-  /** Own address; it identifies a gate. */
+  /** Address of this gate, which also identifies it among the peers. */
   readonly host: string;
   readonly port: number;
-  /** New at each start of the process. */
+  /** Identifies one run of the process; differs after each restart. */
   readonly incarnation: string;
   readonly seedHosts: readonly string[];
   readonly state: FleetState;
@@ -51,16 +54,17 @@
   readonly slowdowns: EngineSlowdowns;
   readonly log: DecisionLog;
   readonly readNow: () => number;
-  /** Age of this gate's last answer from the store, in ms. */
+  /** Returns the age of the last answer from the store, in ms. */
   readonly readStoreAgeMs: () => number;
   /**
-   * Time for which the store has answered this gate without an outage, in ms.
+   * Returns the time for which the store has answered this gate without an
+   * outage, in ms; 0 during an outage.
    */
   readonly readContactMs: () => number;
 }
 
 /**
- * The peers of one gate.
+ * Communicates with the peers of one gate.
  *
  * @example
  * const peers = new PeerGroup(options);
@@ -102,8 +106,8 @@
       random: Math.random,
     });
     state.onChange(({source, event}) => {
-      // A configuration that came from a peer is announced too, so that others
-      // can fetch it here.
+      // A configuration from a peer is announced too, so that further peers can
+      // fetch it from this gate.
       if (source === 'store' || event === 'config_applied')
         this.scheduleChangeHeartbeat();
       if (event === 'target_held') this.confirmRemovals();
@@ -115,24 +119,24 @@
     return formatOwner(this.options.host, this.options.incarnation);
   }
 
-  /** True once this gate knows what its peers know of an older copy. */
+  /** Whether the synchronization with peers at startup is done. */
   get isSynchronized(): boolean {
     return this.startupSync.isDone;
   }
 
-  /** Gates that share budgets, this one included. */
+  /** Counts the gates that share budgets, including this gate. */
   countGates(): number {
     return this.table.countBudgetMembers();
   }
 
-  /** Hosts of live gates, this one included. */
+  /** Lists the hosts of live gates, including this gate. */
   listGates(): readonly string[] {
     return [this.options.host, ...this.table.listAlive().map(({host}) => host)];
   }
 
   /**
-   * Age of the freshest confirmation that this gate's facts are current, in ms:
-   * by the store, or by a peer that knows nothing newer.
+   * Returns the age of the latest confirmation that the facts of this gate are
+   * current, in ms. The store confirms them, or a peer that knows none newer.
    */
   readFactsAgeMs(): number {
     const {readStoreAgeMs, state} = this.options;
@@ -159,13 +163,13 @@
     this.broadcastHeartbeats(true);
   }
 
-  /** Replaces the seeds. */
+  /** Replaces the seed hosts and contacts them. */
   setSeeds(seedHosts: readonly string[]): void {
     this.seedHosts = seedHosts;
     this.broadcastHeartbeats(true);
   }
 
-  /** Announces that this gate leaves, and stops. */
+  /** Announces to peers that this gate leaves, and closes the sockets. */
   async stop(): Promise<void> {
     if (this.isLeaving) return;
     this.isLeaving = true;
@@ -175,7 +179,7 @@
     this.server?.close();
     const {socket} = this;
     this.socket = undefined;
-    // Lets the last datagrams leave before the socket closes.
+    // Lets the last datagrams be sent before the socket closes.
     await sleep(LEAVE_FLUSH_MS);
     socket?.close();
   }
@@ -219,7 +223,7 @@
       this.sendHeartbeat(host, wantsReply || !this.table.isHeardFrom(host));
   }
 
-  /** @param isFull - Includes whole placements. */
+  /** @param isFull - Whether the heartbeat includes complete placements. */
   private sendHeartbeat(
     host: string,
     wantsReply: boolean,
@@ -298,8 +302,8 @@
   }
 
   /**
-   * Confirms removals that a peer without an outage has seen. Peers that may
-   * hold targets themselves confirm nothing.
+   * Confirms removals of held targets through peers without an outage of the
+   * store. Peers that may hold targets themselves confirm none.
    */
   private confirmRemovals(): void {
     const {state} = this.options;
@@ -335,7 +339,7 @@
     for (const number of heartbeat.begun) tracker.markBegun(toKey(number), now);
   }
 
-  /** Forgets a gate's placements; a later heartbeat restores them. */
+  /** Drops a peer and its placements; a later heartbeat restores them. */
   private dropPeer(peer: Peer, reason: 'left' | 'silent'): void {
     const {log} = this.options;
     if (peer.incarnation === undefined) return;
@@ -371,7 +375,7 @@
   }
 }
 
-/** Number of a placement within its gate. */
+/** Parses the number of a placement within its gate from the placement key. */
 function parsePlacementNumber(key: string): number {
   return Number(key.slice(key.indexOf('#') + 1));
 }
--- a/packages/direct/src/peers/peer-table.test.ts
+++ b/packages/direct/src/peers/peer-table.test.ts
@@ -41,8 +41,8 @@
   return {table, heartbeat, advance};
 }
 
-describe('the other gates of a gate', () => {
-  it('are alive while their heartbeats arrive, and learn of others', () => {
+describe('peer table', () => {
+  it('lists peers with recent heartbeats as alive and adds the hosts that they name', () => {
     const {table, heartbeat} = createHarness();
     expect(heartbeat('a')).toEqual(true);
     expect(heartbeat('a')).toEqual(false);
@@ -54,8 +54,8 @@
     ]);
   });
 
-  it('share budgets longer than they are asked for facts', () => {
-    // Guards against a retry budget that grows when a peer is cut off.
+  it('counts a peer for shared budgets for longer than the peer counts as alive', () => {
+    // Guards against a retry budget that grows while a peer is unreachable.
     const {table, heartbeat, advance} = createHarness();
     heartbeat('a');
     advance(10 * SECOND_MS);
@@ -65,7 +65,7 @@
     expect(table.countBudgetMembers()).toEqual(1);
   });
 
-  it('are dropped when silent, and forgotten long after', () => {
+  it('reports a peer as lost 4 s after its last heartbeat and removes it another 120 s later', () => {
     // Guards against gates that never find each other again after a restart
     // without seeds.
     const {table, heartbeat, advance} = createHarness();
@@ -81,8 +81,8 @@
     expect(table.listHosts().length).toEqual(0);
   });
 
-  it('confirm facts only up to what they know themselves', () => {
-    // Guards against a peer with newer facts that confirms older ones.
+  it('accepts a confirmation of facts only from peers that know no newer facts', () => {
+    // Guards against a peer with newer facts that confirms outdated ones.
     const {table, heartbeat, advance} = createHarness();
     heartbeat('a', 5);
     advance(100);
@@ -92,7 +92,7 @@
     expect(table.readConfirmedAgeMs(buildPosition(4))).toEqual(Infinity);
   });
 
-  it('finds who had the store all the while, and only those', () => {
+  it('finds the newest position only among live peers without an outage of the store', () => {
     // Guards against removals confirmed by a gate that had an outage itself.
     const {table, advance} = createHarness();
     advance(20 * SECOND_MS);
--- a/packages/direct/src/peers/peer-table.ts
+++ b/packages/direct/src/peers/peer-table.ts
@@ -1,39 +1,47 @@
-/** The peers of a gate, by host. */
+/** Peers of a gate, by host. */
 import {NO_POSITION, isNewer, pickNewest} from '../fleet/fact-position.js';
 import type {FactPosition} from '../fleet/fact-position.js';
 import type {Heartbeat} from './messages.js';
 
 /**
- * Silence after which a peer's placements are dropped, in ms: three heartbeats.
+ * Time without a heartbeat after which a peer counts as lost and its placements
+ * are dropped, in ms; three heartbeat intervals and a margin.
  */
 const PEER_TIMEOUT_MS = 3200;
 
-/** Silence after which a peer no longer counts for shared budgets, in ms. */
+/**
+ * Time without a heartbeat after which a peer no longer counts for shared
+ * budgets, in ms.
+ */
 const BUDGET_SHARE_TIMEOUT_MS = 30_000;
 
-/** Silence after which a peer is no longer contacted, in ms. */
+/** Time without a heartbeat after which a peer is no longer contacted, in ms. */
 const PEER_RETENTION_MS = 120_000;
 
-/** A peer as its heartbeats describe it. */
+/** State of a peer according to its heartbeats. */
 export interface Peer {
   readonly host: string;
-  /** Absent before its first heartbeat, and after it is lost. */
+  /** Absent before the first heartbeat of the peer and after its loss. */
   incarnation: string | undefined;
-  /** Last heartbeat on the monotonic clock; -Infinity before the first. */
+  /**
+   * Time of the last heartbeat on the monotonic clock, in ms; -Infinity before
+   * the first.
+   */
   lastHeartbeatAt: number;
-  /** When it became known. */
+  /** Time of the discovery of the peer on the monotonic clock, in ms. */
   readonly discoveredAt: number;
   configVersion: number;
   position: FactPosition;
   factsAgeMs: number;
   /**
-   * Since when the store has answered it without an outage; Infinity in one.
+   * Time since which the store has answered the peer without an outage, on the
+   * monotonic clock, in ms; Infinity during an outage.
    */
   contactSince: number;
 }
 
 /**
- * The peers of one gate.
+ * Keeps the state of the peers of one gate.
  *
  * @example
  * const table = new PeerTable('10.1.0.4', () => performance.now());
@@ -46,27 +54,27 @@
     private readonly readNow: () => number,
   ) {}
 
-  /** Hosts of all peers that are not forgotten. */
+  /** Lists the hosts of all known peers, live or not. */
   listHosts(): readonly string[] {
     return [...this.peers.keys()];
   }
 
-  /** Peers with a recent heartbeat. */
+  /** Lists peers with a recent heartbeat. */
   listAlive(): readonly Peer[] {
     return this.listHeardFromWithin(PEER_TIMEOUT_MS);
   }
 
-  /** Number of gates that share budgets, this one included. */
+  /** Counts the gates that share budgets, including this gate. */
   countBudgetMembers(): number {
     return 1 + this.listHeardFromWithin(BUDGET_SHARE_TIMEOUT_MS).length;
   }
 
-  /** True after the first heartbeat of a peer. */
+  /** Returns whether a peer has sent a heartbeat. */
   isHeardFrom(host: string): boolean {
     return (this.peers.get(host)?.lastHeartbeatAt ?? -Infinity) >= 0;
   }
 
-  /** Finds a peer, or adds it. */
+  /** Finds a peer by its host, or adds it. */
   findOrAddPeer(host: string): Peer {
     const known = this.peers.get(host);
     if (known !== undefined) return known;
@@ -84,7 +92,7 @@
     return peer;
   }
 
-  /** Records a heartbeat; returns whether it is the peer's first. */
+  /** Records a heartbeat; returns whether it is the first one of the peer. */
   recordHeartbeat(peer: Peer, heartbeat: Heartbeat): boolean {
     const isFirst = peer.lastHeartbeatAt === -Infinity;
     peer.lastHeartbeatAt = this.readNow();
@@ -101,8 +109,8 @@
   }
 
   /**
-   * Lists silent peers that have not been dropped yet, and forgets those that
-   * have been silent for long.
+   * Lists peers that have timed out but are not dropped yet, and removes peers
+   * that are no longer contacted.
    */
   expireSilent(): readonly Peer[] {
     const now = this.readNow();
@@ -117,8 +125,9 @@
   }
 
   /**
-   * Age of the freshest confirmation that facts at `position` are current, in
-   * ms, by a peer of the same era that knows nothing newer.
+   * Returns the age of the latest confirmation that facts at `position` are
+   * current, in ms. A peer confirms them if it is in the same era and knows no
+   * newer facts. The result is Infinity without such a peer.
    */
   readConfirmedAgeMs(position: FactPosition): number {
     let age = Infinity;
@@ -135,13 +144,13 @@
   }
 
   /**
-   * Newest position of a live peer that the store has answered since before
-   * `since`.
+   * Returns the newest position among the live peers that have had no outage of
+   * the store since `since`.
    */
   findPositionWithoutOutage(since: number): FactPosition {
     return pickNewest(
       this.listAlive()
-        .filter(({contactSince: contactAt}) => contactAt <= since)
+        .filter(({contactSince}) => contactSince <= since)
         .map(({position}) => position),
     );
   }
--- a/packages/direct/src/peers/shared-facts.test.ts
+++ b/packages/direct/src/peers/shared-facts.test.ts
@@ -10,7 +10,7 @@
 
 const NO_FACTS_KNOWN = {configVersion: 0, position: NO_POSITION};
 
-/** Facts as a peer receives them. */
+/** Returns facts in the form in which a peer receives them. */
 function describeOnWire(): unknown {
   const state = createFleetState(() => 0);
   state.applySnapshot({
@@ -22,7 +22,7 @@
   return JSON.parse(JSON.stringify(state.describeShared(NO_FACTS_KNOWN)));
 }
 
-/** Paths of all values in `value`. */
+/** Lists the paths of all leaf values in `value`. */
 function listPaths(value: unknown): ReadonlyArray<readonly string[]> {
   if (typeof value !== 'object' || value === null) return [[]];
   return Object.entries(value).flatMap(([key, inner]) =>
@@ -39,8 +39,8 @@
   return facts;
 }
 
-describe('facts that another gate has handed over', () => {
-  it('are what that gate knows', () => {
+describe('facts shared between gates', () => {
+  it('are unchanged by encoding, decoding and applying them', () => {
     const state = createFleetState(() => 0);
     state.applyShared(decodeSharedFacts(describeOnWire()));
     expect(
@@ -48,8 +48,8 @@
     ).toEqual(describeOnWire());
   });
 
-  it('are not used when any figure was lost on the way', () => {
-    // Guards against non-finite figures, which JSON turns into null.
+  it('are rejected with DecodeError when any value is replaced by null, an array or an object', () => {
+    // Guards against non-finite numbers, which JSON turns into null.
     fc.assert(
       fc.property(
         fc.constantFrom(...listPaths(describeOnWire())),
@@ -64,14 +64,14 @@
     );
   });
 
-  it('are asked for whole by a gate that says nothing of its own', () => {
+  it('are requested in full by a peer that sends no or malformed versions', () => {
     // Guards against an error while gates of two versions run side by side.
     expect(toKnownFacts(undefined)).toEqual(NO_FACTS_KNOWN);
     expect(toKnownFacts({})).toEqual(NO_FACTS_KNOWN);
     expect(toKnownFacts({configVersion: 'x'})).toEqual(NO_FACTS_KNOWN);
   });
 
-  it('leave out what the peer has', () => {
+  it('omit the configuration and the targets that the peer already knows', () => {
     const state = createFleetState(() => 0);
     state.applyShared(decodeSharedFacts(describeOnWire()));
     const news = state.describeShared({
@@ -86,8 +86,8 @@
     expect([targets.config, targets.targets.length]).toEqual([undefined, 2]);
   });
 
-  it('keep the targets of a gate that is ahead of the other by a config', () => {
-    // Guards against an answer without targets that removes all of them.
+  it('remove no targets of a receiver that lacks only the configuration', () => {
+    // Guards against an answer without targets that removes all known targets.
     const newerState = createFleetState(() => 0);
     newerState.applyShared(decodeSharedFacts(describeOnWire()));
     const ownState = createFleetState(() => 0);
--- a/packages/direct/src/peers/shared-facts.ts
+++ b/packages/direct/src/peers/shared-facts.ts
@@ -1,6 +1,6 @@
 /**
- * Validates facts from a peer, which may be of another version; JSON also turns
- * figures that are not finite into null.
+ * Validates facts from a peer. The peer may run another version of the gate, and
+ * JSON turns non-finite numbers into null.
  */
 import {z} from 'zod';
 import {DecodeError} from '../errors.js';
@@ -9,7 +9,7 @@
 
 const PositionSchema = z.object({era: z.number(), revision: z.number()});
 
-/** Gates of an earlier version send no versions. */
+/** Versions that a peer knows; gates of an earlier version omit them. */
 const KnownFactsSchema = z.object({
   configVersion: z.number().catch(0),
   position: PositionSchema.catch(NO_POSITION),
@@ -76,7 +76,7 @@
 });
 
 /**
- * Decodes the versions that a peer has.
+ * Decodes the versions of the facts that a peer knows.
  *
  * @example
  * toKnownFacts({configVersion: 7, position: {era: 0, revision: 120}});
@@ -88,8 +88,7 @@
 /**
  * Validates facts from a peer.
  *
- * @throws DecodeError that names the first bad field; nothing of the facts is
- *   used then.
+ * @throws DecodeError that names the first invalid field.
  * @example
  * state.applyShared(decodeSharedFacts(answer));
  */
--- a/packages/direct/src/peers/startup-sync.test.ts
+++ b/packages/direct/src/peers/startup-sync.test.ts
@@ -17,7 +17,10 @@
   doubts: [],
 };
 
-/** A gate that starts in era `era`, with answers of peers by host. */
+/**
+ * Creates a gate that starts with a store in era `era`. Peers give `answers` by
+ * host to the first request, and `laterAnswers` to further ones.
+ */
 function createHarness(
   era: number,
   answers: Readonly<Record<string, SharedFacts | Error | undefined>>,
@@ -66,8 +69,8 @@
   return {state, sync, asked, readStore, readWaitedMs: () => now};
 }
 
-describe('synchronization of a gate that starts', () => {
-  it('is not needed while the store is in its first era', async () => {
+describe('startup synchronization', () => {
+  it('is done without asking a peer when the store is in its first era', async () => {
     const {sync, asked, readStore} = createHarness(0, {a: PEER_FACTS});
     expect(sync.isDone).toEqual(false);
     await readStore();
@@ -76,7 +79,8 @@
   });
 
   it('merges the facts of the first peer that answers', async () => {
-    // Guards against a gate that is ready with an older copy's configuration.
+    // Guards against a gate that becomes ready with the configuration of an
+    // older copy of the store.
     const {state, sync, asked, readStore} = createHarness(2, {
       gone: undefined,
       a: PEER_FACTS,
@@ -87,9 +91,9 @@
     expect(state.config?.version).toEqual(7);
   });
 
-  it('goes on while a peer has a configuration that it did not send', async () => {
-    // Guards against being ready with the copy's configuration because the peer
-    // was sending its own to others.
+  it('asks again when a peer has a newer configuration but omitted it', async () => {
+    // Guards against a gate that becomes ready with the configuration of an
+    // older copy because all slots of the peer were taken.
     const {state, sync, readStore} = createHarness(
       2,
       {a: {...PEER_FACTS, config: undefined}},
@@ -100,8 +104,9 @@
     expect(state.config?.version).toEqual(7);
   });
 
-  it('asks a busy peer again', async () => {
-    // Guards against a start without facts because the only peer was busy.
+  it('retries a peer that answers that it is busy', async () => {
+    // Guards against a start without facts from peers because the only peer was
+    // busy.
     const {state, asked, readStore} = createHarness(
       2,
       {a: new FactsBusyError('busy')},
@@ -112,8 +117,8 @@
     expect(state.config?.version).toEqual(7);
   });
 
-  it('ends without a peer', async () => {
-    // Guards against a single gate that is never ready.
+  it('is done after 1,500 ms without any peer', async () => {
+    // Guards against a single gate that never becomes ready.
     const {sync, readStore, readWaitedMs} = createHarness(2, {});
     await readStore();
     expect(sync.isDone).toEqual(true);
--- a/packages/direct/src/peers/startup-sync.ts
+++ b/packages/direct/src/peers/startup-sync.ts
@@ -1,10 +1,11 @@
 /**
- * Keeps a gate that has just started from being ready with the facts of an
- * older copy of the store: its peers know what the copy lacks or revives.
+ * Synchronizes a gate that has just started with its peers before it becomes
+ * ready. If the store was restored from an older copy, the peers know which
+ * facts the copy lacks and which of its entries are outdated.
  */
 import {FactsBusyError} from '../errors.js';
 import {NO_POSITION} from '../fleet/fact-position.js';
-import {waitUnref} from './wait-idly.js';
+import {waitUnref} from './wait-unref.js';
 import type {
   FactVersions,
   FleetState,
@@ -13,34 +14,39 @@
 import type {DecisionLog} from '../observe/decision-log.js';
 
 /**
- * Longest wait for a peer, in ms: above one heartbeat, by which peers find a
- * gate whose seeds are down.
+ * Longest wait for a peer, in ms; above one heartbeat interval, because peers
+ * reach a gate whose seeds are down by their next heartbeat.
  */
 const SYNC_TIMEOUT_MS = 1500;
 
-/** Pause between two requests, in ms. */
+/** Delay between two requests, in ms. */
 const RETRY_DELAY_MS = 50;
 
-/** Dependencies of the synchronization. */
+/** Dependencies of the synchronization at startup. */
 export interface StartupSyncOptions {
   readonly state: FleetState;
-  /** Hosts of live peers. */
+  /** Lists the hosts of live peers. */
   readonly listPeers: () => readonly string[];
-  /** Hosts of live peers with newer facts. */
+  /** Lists the hosts of live peers that have newer facts than this gate. */
   readonly listUpdateSources: () => readonly string[];
   readonly fetch: (host: string, known: FactVersions) => Promise<SharedFacts>;
   readonly log: DecisionLog;
   readonly readNow: () => number;
-  /** Waits; injected by tests. */
+  /**
+   * Waits for a time in ms; tests replace it.
+   *
+   * @default waitUnref
+   */
   readonly wait?: (ms: number) => Promise<void>;
 }
 
 /**
- * The synchronization of one gate, at its start only.
+ * Synchronizes one gate with its peers, once, at startup. A store in era 0 has
+ * never been restored, so the gate needs no synchronization.
  *
  * @example
  * const sync = new StartupSync(options);
- * sync.isDone; // true while the store is in its first era
+ * sync.isDone; // false until the gate is synchronized
  */
 export class StartupSync {
   private isFinished = false;
@@ -50,7 +56,7 @@
     options.state.onChange(() => this.handleChange());
   }
 
-  /** True once the gate may be ready. */
+  /** Whether the gate may become ready. */
   get isDone(): boolean {
     const {state} = this.options;
     return this.isFinished || (state.isServing && state.position.era === 0);
@@ -72,10 +78,10 @@
       readNow,
       wait = waitUnref,
     } = this.options;
-    const deadlineAt = readNow() + SYNC_TIMEOUT_MS;
+    const giveUpAt = readNow() + SYNC_TIMEOUT_MS;
     const failed = new Set<string>();
-    while (readNow() < deadlineAt) {
-      // A peer that is ahead may have more than it could send at once.
+    while (readNow() < giveUpAt) {
+      // Peers with newer facts come first; they may have answered only in part.
       const host = [...listUpdateSources(), ...listPeers()].find(
         peer => !failed.has(peer),
       );
@@ -93,7 +99,10 @@
     log.info('start_confirmed', {peer: host, ...state.position});
   }
 
-  /** Returns whether the peer sent its facts; a busy one may be asked again. */
+  /**
+   * Merges the facts of a peer; returns whether the peer sent them. A busy peer
+   * can be asked again.
+   */
   private async trySync(host: string, failed: Set<string>): Promise<boolean> {
     const {state, fetch, log} = this.options;
     const {configVersion} = state.versions;
--- a/packages/direct/src/peers/wait-idly.ts
+++ b/packages/direct/src/peers/wait-unref.ts
@@ -1,8 +1,8 @@
-/** Waiting in the background. */
+/** Waits on a timer that does not keep the process alive. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 /**
- * Waits without keeping the process alive.
+ * Waits for `ms` without keeping the process alive.
  *
  * @example
  * await waitIdly(50);
