--- a/packages/direct/src/errors.ts
+++ b/packages/direct/src/errors.ts
@@ -1,4 +1,4 @@
-/** Errors of the direct gate. */
+/** Errors thrown by the direct gate. */
 import VError from 'verror';
 
 /** Base class of the direct gate's errors. */
@@ -8,22 +8,22 @@
   }
 }
 
-/** The store gave no complete answer in time. */
+/** The store did not answer completely within the timeout. */
 export class StoreUnavailableError extends DirectGateError {
   override name = 'StoreUnavailableError';
 }
 
-/** The store does not have the history after a watch's position. */
+/** The store no longer has the history after the position of a watch. */
 export class HistoryLostError extends DirectGateError {
   override name = 'HistoryLostError';
 }
 
-/** A peer has the facts, but serves as many gates as it can. */
+/** A peer has the facts but already serves its maximum number of gates. */
 export class FactsBusyError extends DirectGateError {
   override name = 'FactsBusyError';
 }
 
-/** A value from outside that cannot be decoded; `field` says where. */
+/** A received value cannot be decoded; `field` is its path. */
 export class DecodeError extends DirectGateError {
   override name = 'DecodeError';
 
@@ -35,10 +35,10 @@
   }
 }
 
-/** Why an exchange with a target failed. */
+/** Cause of a failed exchange with a target. */
 export type ExchangeFault =
   | 'connect'
-  /** The head cannot be written; the target is not at fault. */
+  /** The request head cannot be written, which is not a fault of the target. */
   | 'unwritable'
   | 'reset'
   | 'malformed'
@@ -47,13 +47,13 @@
   | 'stalled'
   | 'cancelled';
 
-/** An exchange that brought no complete answer. */
+/** An exchange with a target failed before a complete answer was received. */
 export class ExchangeError extends DirectGateError {
   override name = 'ExchangeError';
 
   /**
    * @param wasSent - False only if no byte of the request left this host, so
-   *   it has not run and never will.
+   *   the request has not run and never will.
    */
   constructor(
     readonly fault: ExchangeFault,
@@ -63,7 +63,7 @@
     super(`exchange failed: ${fault}`, cause);
   }
 
-  /** False if the failure says nothing about the target. */
+  /** Whether the failure indicates a fault of the target. */
   get isByTarget(): boolean {
     return this.fault !== 'cancelled' && this.fault !== 'unwritable';
   }
--- a/packages/direct/src/gate.test.ts
+++ b/packages/direct/src/gate.test.ts
@@ -7,53 +7,57 @@
 import {buildConfig, openGateWorld} from './test/gate-world.js';
 import type {TargetScript} from './test/fake-target.js';
 
-/** Time until a stopping gate of these tests takes nothing more, in ms. */
+/** Time until a stopping gate of these tests refuses new requests, in ms. */
 const STOP_NOTICE_MS = 1000;
 
-/** Time for which a suspended process runs nothing, in ms. */
+/** Time for which `freezeProcess` blocks the process, in ms. */
 const FREEZE_MS = 400;
 
-/** Blocks like a suspended process: no reads, no timers. */
+/** Blocks the event loop like a suspended process, without reads and timers. */
 function freezeProcess(): void {
   const lock = new Int32Array(new SharedArrayBuffer(4));
   Atomics.wait(lock, 0, 0, FREEZE_MS);
 }
 
 describe('direct gate', () => {
-  it('serves what it has when told to stop, and takes itself out at once', async () => {
-    // Guards against requests that fail while gates restart one by one.
-    const world = await openGateWorld();
+  it('fails readiness at once when a drain starts, and still serves open and newly arriving requests', async () => {
+    // Guards against requests that fail during a rolling restart of the gates.
+    const harness = await openGateWorld();
     try {
       const answerSlowly: TargetScript = (req, res) =>
         void setTimeout(() => answerWhole(req, res), 400);
-      await world.addTarget('t', 'orders', answerSlowly);
-      await world.waitUntil(async () => (await world.askReady()) === 200);
-      const running = world.call('/unsafe/order', {method: 'POST'});
+      await harness.addTarget('t', 'orders', answerSlowly);
+      await harness.waitUntil(async () => (await harness.askReady()) === 200);
+      const running = harness.call('/unsafe/order', {method: 'POST'});
       await new Promise(resolve => setTimeout(resolve, 50));
-      const drained = world.gate.drain();
-      expect(await world.askReady()).toEqual(503);
-      const arriving = world.call('/unsafe/order', {method: 'POST', id: 'q2'});
+      const drained = harness.gate.drain();
+      expect(await harness.askReady()).toEqual(503);
+      const arriving = harness.call('/unsafe/order', {
+        method: 'POST',
+        id: 'q2',
+      });
       expect((await running).status).toEqual(200);
       expect((await arriving).status).toEqual(200);
       await drained;
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('takes no request that it could not finish before it is killed', async () => {
-    // Guards against accepting requests that the stop would cut off.
-    const world = await openGateWorld();
+  it('refuses requests late in a drain with 503 and Retry-After, and finishes open ones', async () => {
+    // Guards against accepting requests that cannot finish before the process
+    // is killed.
+    const harness = await openGateWorld();
     try {
       const answerSlowly: TargetScript = (req, res) =>
         void setTimeout(() => answerWhole(req, res), 700);
-      await world.addTarget('t', 'orders', answerSlowly);
-      await world.waitUntil(async () => (await world.askReady()) === 200);
-      const drained = world.gate.drain();
+      await harness.addTarget('t', 'orders', answerSlowly);
+      await harness.waitUntil(async () => (await harness.askReady()) === 200);
+      const drained = harness.gate.drain();
       await new Promise(resolve => setTimeout(resolve, 600));
-      const running = world.call('/unsafe/order', {method: 'POST'});
+      const running = harness.call('/unsafe/order', {method: 'POST'});
       await new Promise(resolve => setTimeout(resolve, 600));
-      const late = await world.call('/unsafe/order', {
+      const late = await harness.call('/unsafe/order', {
         method: 'POST',
         id: 'q2',
       });
@@ -62,33 +66,34 @@
       expect((await running).status).toEqual(200);
       await drained;
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('answers what had arrived when it stops taking requests', async () => {
-    // Guards against connections that a stop resets over an unread request.
-    const world = await openGateWorld();
+  it('answers a request that arrived unread when the gate stops accepting requests', async () => {
+    // Guards against resetting connections with an unread request during a
+    // drain.
+    const harness = await openGateWorld();
     try {
-      await world.addTarget('t', 'orders', answerWhole);
-      await world.waitUntil(async () => (await world.askReady()) === 200);
+      await harness.addTarget('t', 'orders', answerWhole);
+      await harness.waitUntil(async () => (await harness.askReady()) === 200);
       const request =
         'GET /safe/x HTTP/1.1\r\nHost: site\r\nx-test-key: k1\r\n' +
         'x-test-id: q1\r\nx-test-deadline: 4000\r\n\r\n';
       const statuses: string[] = [];
       await new Promise<void>(resolve => {
-        const socket = connect(world.port, world.host, () =>
+        const socket = connect(harness.port, harness.host, () =>
           socket.write(request),
         );
         socket.on('data', chunk => {
           statuses.push(String(chunk).slice(9, 12));
           if (statuses.length > 1) return;
-          void world.gate.drain();
+          void harness.gate.drain();
           const writeAndFreeze = () => {
             socket.write(request);
             freezeProcess();
           };
-          // Behind the round of reading that precedes the timers.
+          // Runs after the event loop has polled for reads in this iteration.
           setTimeout(
             () => setImmediate(writeAndFreeze),
             STOP_NOTICE_MS - FREEZE_MS / 2,
@@ -99,11 +104,11 @@
       });
       expect(statuses).toEqual(['200', '503']);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 
-  it('learns from another gate what the store does not tell it', async () => {
+  it('applies a configuration from another gate while its own store is down', async () => {
     // Guards against a revoked key that still works at a gate without the
     // store.
     const port = 22_000;
@@ -133,9 +138,9 @@
     }
   });
 
-  it('drops at once a target that left while the store turned it away', async () => {
-    // Guards against using a target that left while only this gate was cut off
-    // from the store.
+  it('removes a held target as soon as a gate without an outage confirms its removal', async () => {
+    // Guards against using a target that was removed while only this gate could
+    // not reach the store.
     const port = 22_200;
     const hosts = [buildLoopbackHost(4), buildLoopbackHost(5)];
     const [one, two] = await Promise.all([
@@ -176,7 +181,7 @@
     }
   });
 
-  it('starts without a store from what another gate knows', async () => {
+  it('becomes ready with the facts of another gate when the store is down at startup', async () => {
     // Guards against a restarted gate that waits for a store which is down.
     const port = 22_100;
     const hosts = [buildLoopbackHost(2), buildLoopbackHost(3)];
@@ -199,17 +204,19 @@
     }
   });
 
-  it('shows its figures as text', async () => {
-    const world = await openGateWorld();
+  it('serves its metrics as text over HTTP', async () => {
+    const harness = await openGateWorld();
     try {
-      await world.addTarget('t', 'orders', answerWhole);
-      await world.waitUntil(async () => (await world.askReady()) === 200);
-      await world.call('/safe/x');
-      const figures = await fetch(`http://${world.host}:${world.port + 3}/`);
+      await harness.addTarget('t', 'orders', answerWhole);
+      await harness.waitUntil(async () => (await harness.askReady()) === 200);
+      await harness.call('/safe/x');
+      const figures = await fetch(
+        `http://${harness.host}:${harness.port + 3}/`,
+      );
       const text = await figures.text();
       expect(text.includes('nutmeggauge_call_answered_total 1')).toEqual(true);
     } finally {
-      world.close();
+      harness.close();
     }
   });
 });
--- a/packages/direct/src/gate.ts
+++ b/packages/direct/src/gate.ts
@@ -1,6 +1,6 @@
 /**
- * The direct gate: one process on an entry host that forwards callers' requests
- * straight to targets.
+ * The direct gate: a process on an entry host that forwards callers' requests
+ * directly to targets.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
@@ -38,39 +38,39 @@
 import type {RetryBounds} from './retry/shared-retry-budget.js';
 
 /**
- * Time until the balancer sends nothing more to a stopping gate, in ms: two
- * failed readiness checks.
+ * Time until the load balancer sends no more requests to a stopping gate, in ms;
+ * long enough for two failed readiness checks.
  */
 const DRAIN_NOTICE_MS = 2900;
 
-/** Part of the grace period reserved for the exit, in ms. */
-const DRAIN_RESERVE_MS = 500;
+/** Part of the grace period that is reserved for the exit, in ms. */
+const DRAIN_EXIT_RESERVE_MS = 500;
 
-/** How often a drain checks for open requests, in ms. */
+/** Interval at which a drain checks for open requests, in ms. */
 const DRAIN_POLL_MS = 50;
 
-/** How often held targets are checked, in ms. */
-const SWEEP_MS = 100;
+/** Interval at which held targets are checked for expiry, in ms. */
+const HOLD_CHECK_INTERVAL_MS = 100;
 
-/** Addresses and bounds of a gate. */
+/** Settings of a direct gate. */
 export interface DirectGateSettings {
   readonly node: string;
   readonly zone: string;
-  /** Where callers connect. */
+  /** Address that callers connect to. */
   readonly ingress: ListenAddress;
-  /** Where the balancer checks readiness. */
+  /** Address where the load balancer checks readiness. */
   readonly ready: ListenAddress;
-  /** Where peers connect, over TCP and UDP. */
+  /** Address that peers use, over TCP and UDP. */
   readonly peers: ListenAddress;
-  /** Where metrics are served; absent for nowhere. */
+  /** Address where metrics are served; absent to serve none. */
   readonly metrics: ListenAddress | undefined;
   readonly seedHosts: readonly string[];
   readonly retryBounds: RetryBounds;
-  /** Time between the order to stop and the kill, in ms. */
+  /** Time between the request to stop and the kill of the process, in ms. */
   readonly stopGraceMs: number;
 }
 
-/** What an adapter provides. */
+/** Dependencies of a direct gate, which an adapter provides. */
 export interface DirectGateDependencies {
   readonly dialect: HeaderDialect;
   readonly store: FactStore;
@@ -80,7 +80,7 @@
 }
 
 /**
- * One direct gate.
+ * Direct gate with its listeners, its store watcher and its peers.
  *
  * @example
  * const gate = createDirectGate(settings, dependencies);
@@ -98,7 +98,7 @@
   private readonly ingress: Ingress;
   private readonly context: ForwardContext;
   private readonly status = new StatusServer();
-  private sweep: NodeJS.Timeout | undefined;
+  private holdCheckTimer: NodeJS.Timeout | undefined;
   private draining: Promise<void> | undefined;
 
   constructor(
@@ -116,7 +116,7 @@
     });
     this.slowdowns = new EngineSlowdowns({
       reports: dependencies.reports,
-      // Reports have a cost: without open streams no engine is polled.
+      // Polling has a cost, so engines are polled only while streams are open.
       listEngines: () => (tracker.isEmpty ? [] : state.listEngines()),
       isMine: ({id}) =>
         findHome(this.peers.listGates(), id) === settings.peers.host,
@@ -192,14 +192,17 @@
     if (settings.metrics !== undefined)
       await this.status.openMetrics(settings.metrics, () => this.readMetrics());
     await this.ingress.start(settings.ingress);
-    this.sweep = setInterval(() => this.state.expireHeld(), SWEEP_MS);
+    this.holdCheckTimer = setInterval(
+      () => this.state.expireHeld(),
+      HOLD_CHECK_INTERVAL_MS,
+    );
     dependencies.log.info('gate_started', {
       zone: settings.zone,
       seeds: settings.seedHosts,
     });
   }
 
-  /** Applies settings that changed at run time. */
+  /** Applies settings that were changed at run time. */
   reload(settings: Pick<DirectGateSettings, 'seedHosts'>): void {
     this.peers.setSeeds(settings.seedHosts);
     this.dependencies.log.info('settings_reloaded', {
@@ -208,8 +211,9 @@
   }
 
   /**
-   * Graceful shutdown: readiness fails at once, requests are served until the
-   * balancer has noticed, later ones are sent to other gates.
+   * Shuts down gracefully. Readiness fails at once, and requests are still
+   * accepted until the load balancer has noticed; later ones are refused, so
+   * that callers retry them at other gates.
    */
   drain(): Promise<void> {
     this.draining ??= this.runDrain();
@@ -224,25 +228,26 @@
     const {log} = this.dependencies;
     log.info('drain_started', {inFlight: this.ingress.inFlight});
     const startedAt = this.readNow();
-    const giveUpAt = startedAt + this.settings.stopGraceMs - DRAIN_RESERVE_MS;
+    const giveUpAt =
+      startedAt + this.settings.stopGraceMs - DRAIN_EXIT_RESERVE_MS;
     await sleep(Math.min(DRAIN_NOTICE_MS, this.settings.stopGraceMs / 2));
     await this.ingress.stopTaking();
-    await this.waitForAnswers(giveUpAt);
+    await this.waitForOpenRequests(giveUpAt);
     await this.ingress.closeIdle();
-    // What was read last.
-    await this.waitForAnswers(giveUpAt);
+    // Waits for the requests that were read before idle connections were closed.
+    await this.waitForOpenRequests(giveUpAt);
     log.info('drain_finished', {left: this.ingress.inFlight});
     await this.peers.stop();
   }
 
-  private async waitForAnswers(giveUpAt: number): Promise<void> {
+  private async waitForOpenRequests(giveUpAt: number): Promise<void> {
     while (this.ingress.inFlight > 0 && this.readNow() < giveUpAt)
       await sleep(DRAIN_POLL_MS);
   }
 
-  /** Stops everything at once. */
+  /** Closes all listeners and connections at once, without a drain. */
   close(): void {
-    clearInterval(this.sweep);
+    clearInterval(this.holdCheckTimer);
     this.watcher.stop();
     this.slowdowns.stop();
     void this.peers.stop();
@@ -274,7 +279,7 @@
     };
   }
 
-  /** Slots of all engines of a service. */
+  /** Counts the slots of all usable engines of a service. */
   private countSlots(service: string): number {
     const slots = this.state.findService(service)?.engine?.slots ?? 0;
     return this.state.listUsable(service).length * slots;
--- a/packages/direct/src/index.ts
+++ b/packages/direct/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of the direct gate. */
+/** Public API of the direct gate. */
 export * from './types.js';
 export * from './ports.js';
 export * from './errors.js';
--- a/packages/direct/src/ports.ts
+++ b/packages/direct/src/ports.ts
@@ -1,6 +1,7 @@
 /**
- * What the gate needs from an adapter: header names, a read-only store of
- * facts, and reservations of KV cache.
+ * Interfaces that an adapter implements: header names, a read-only store of
+ * facts (the configuration and the targets), reports of engines, and
+ * reservations of KV cache.
  */
 import type {FactPosition} from './fleet/fact-position.js';
 import type {
@@ -12,17 +13,17 @@
   Target,
 } from './types.js';
 
-/** Translates header fields between the wire and the gate. */
+/** Translates HTTP header fields between the wire and the gate. */
 export abstract class HeaderDialect {
-  /** Decodes the head of a caller's request. */
+  /** Parses the head of a caller's request. */
   abstract parseRequest(
     headers: Readonly<Record<string, string | string[] | undefined>>,
   ): RequestFacts;
 
-  /** Builds the head for a target from the caller's head. */
+  /** Builds the request head for a target from the caller's request head. */
   abstract buildForTarget(caller: RawHeaders, facts: ForwardFacts): string[];
 
-  /** Decodes the head of a target's answer. */
+  /** Parses the head of a target's answer. */
   abstract parseAnswer(
     headers: Readonly<Record<string, string | string[] | undefined>>,
   ): AnswerFacts;
@@ -31,7 +32,7 @@
   abstract readonly readyPath: string;
 }
 
-/** A change that the store reports. */
+/** A change of one fact that the store reports. */
 export type FactChange =
   | {readonly kind: 'config'; readonly config: FleetConfig}
   | {readonly kind: 'target'; readonly target: Target}
@@ -40,41 +41,43 @@
       /** Name of the target. */
       readonly name: string;
       readonly position: FactPosition;
-      /** Its entry exists but cannot be decoded. */
+      /** Whether the entry still exists but cannot be decoded. */
       readonly isMalformed: boolean;
     };
 
-/** A full read of the store. */
+/** All facts from a full read of the store. */
 export interface FactSnapshot {
   /** Position of the store at the start of the read. */
   readonly position: FactPosition;
   readonly config: FleetConfig | undefined;
   readonly targets: readonly Target[];
-  /** Names whose entry exists but cannot be decoded. */
+  /** Names of targets whose entry exists but cannot be decoded. */
   readonly malformed: readonly string[];
 }
 
-/** Changes since a position. */
+/** Changes of the store after a position. */
 export interface FactChanges {
   readonly position: FactPosition;
   readonly changes: readonly FactChange[];
 }
 
-/** The read-only store of configuration and targets. */
+/** Read-only store of the configuration and the targets. */
 export abstract class FactStore {
   /**
-   * Reads everything.
+   * Reads all facts.
    *
-   * @param timeoutMs - Longest wait for the first byte of an answer.
-   * @throws StoreUnavailableError if the store gives no complete answer in time.
+   * @param timeoutMs - Longest wait for the first byte of an answer, in ms.
+   * @throws StoreUnavailableError if the store does not answer completely within
+   *   the timeout.
    */
   abstract readSnapshot(timeoutMs: number): Promise<FactSnapshot>;
 
   /**
-   * Waits for changes after `position`.
+   * Waits up to `waitMs` for changes after `position`.
    *
-   * @throws HistoryLostError when the store does not know that position;
-   *   StoreUnavailableError when it gives no whole answer in time.
+   * @throws HistoryLostError if the store no longer has the history after
+   *   `position`; StoreUnavailableError if the store does not answer completely
+   *   within the timeout.
    */
   abstract waitForChanges(
     position: FactPosition,
@@ -83,22 +86,22 @@
   ): Promise<FactChanges>;
 }
 
-/** What an engine reports of itself. */
+/** Report of an engine about its speed. */
 export interface EngineReport {
-  /** 1 is as configured, 3 takes three times as long. */
+  /** Factor on the configured times: 1 is as configured, 3 is three times as slow. */
   readonly slowdown: number;
 }
 
-/** Polls engines for reports. */
+/** Polls engines for their reports. */
 export abstract class EngineReports {
-  /** Reads a report; nothing if there is none in time. */
+  /** Reads a report of an engine; returns `undefined` if it comes too late. */
   abstract read(target: Target): Promise<EngineReport | undefined>;
 }
 
-/** Result of a reservation. */
+/** Outcome of a request to reserve KV cache. */
 export type ReservationOutcome = 'granted' | 'refused' | 'unknown';
 
-/** Reserves KV cache of engines. */
+/** Reserves KV cache on engines. */
 export abstract class KvReservations {
   /**
    * Reserves `tokens` under `ticket` for `holdMs`, or renews the reservation.
@@ -110,6 +113,6 @@
     holdMs: number,
   ): Promise<ReservationOutcome>;
 
-  /** Releases a reservation; a lost release is left to the lease. */
+  /** Releases a reservation; if the release is lost, the lease expires instead. */
   abstract release(target: Target, ticket: string): Promise<void>;
 }
--- a/packages/direct/src/types.ts
+++ b/packages/direct/src/types.ts
@@ -1,14 +1,17 @@
-/** Data types of the direct gate. Adapters decode their wire into these. */
+/** Data types of the direct gate. Adapters decode their wire formats into them. */
 
 import type {FactPosition} from './fleet/fact-position.js';
 
-/** What may be repeated when an attempt fails. */
+/**
+ * Kind of a route, which determines what is retried after a failed attempt:
+ * calls that may run twice (`safe`), calls that must not (`unsafe`), or streams.
+ */
 export type RouteKind = 'safe' | 'unsafe' | 'stream';
 
-/** One service that a route sends to, with its share of the requests. */
+/** A service that a route sends requests to, with its share of them. */
 export interface RouteSplit {
   readonly service: string;
-  /** Relative share; 0 sends nothing. */
+  /** Relative share of the requests; 0 sends none. */
   readonly weight: number;
 }
 
@@ -22,40 +25,40 @@
   /** Longest time a request may wait for its answer, in ms. */
   readonly timeoutMs: number;
   /**
-   * Latency objective in ms: time to first token of a stream, whole answer of a
-   * call.
+   * Latency objective, in ms: the time to first token for a stream, the time of
+   * the complete answer for a call.
    */
   readonly objectiveMs: number;
-  /** Objective for the inter-token latency, in ms. */
+  /** Objective for the inter-token latency of a stream, in ms. */
   readonly itlObjectiveMs: number | undefined;
   readonly splits: readonly RouteSplit[];
-  /** Most targets that a request may be sent to. */
+  /** Maximum number of targets that a request may be sent to. */
   readonly maxAttempts: number;
-  /** True when callers need no key. */
+  /** Whether callers need no API key. */
   readonly isPublic: boolean;
-  /** True if another target can continue an interrupted stream. */
+  /** Whether another target can resume an interrupted stream. */
   readonly isResumable: boolean;
 }
 
 /** Cost model of a model engine. */
 export interface EngineFigures {
-  /** Sequences that are decoded at once. */
+  /** Maximum number of sequences that are decoded concurrently. */
   readonly slots: number;
-  /** KV cache of one engine, in tokens. */
+  /** Capacity of the KV cache of one engine, in tokens. */
   readonly kvCapacityTokens: number;
-  /** One decode step with no sequence, in ms. */
+  /** Base time of a decode step, without any sequence, in ms. */
   readonly stepMs: number;
-  /** What each sequence adds to a step, in ms. */
+  /** Time that each sequence adds to a decode step, in ms. */
   readonly stepMsPerSequence: number;
-  /** What each 1,000 tokens of context add to a step, in ms. */
+  /** Time that each 1,000 tokens of context add to a decode step, in ms. */
   readonly stepMsPerContextK: number;
-  /** Prompt tokens prefilled in one ms. */
+  /** Prefill rate, in prompt tokens per ms. */
   readonly prefillTokensPerMs: number;
-  /** Attention cost of a million pairs of tokens in prefill, in ms. */
+  /** Attention time of one million token pairs in prefill, in ms. */
   readonly attentionMsPerMillionPairs: number;
-  /** Decode steps in one iteration, which makes one event of a stream. */
+  /** Number of decode steps in one iteration, which emits one stream event. */
   readonly stepsPerIteration: number;
-  /** Most prompt tokens prefilled in one step. */
+  /** Maximum number of prompt tokens prefilled in one step. */
   readonly chunkTokens: number;
 }
 
@@ -66,16 +69,16 @@
   readonly engine: EngineFigures | undefined;
 }
 
-/** Bounds on what a caller may send. */
+/** Limits on requests and connections of callers. */
 export interface IngressLimits {
   readonly maxBodyBytes: number;
-  /** Longest time for a complete request head, in ms. */
+  /** Longest time until a request head is complete, in ms. */
   readonly headerTimeoutMs: number;
-  /** How long a caller's connection may stay idle, in ms. */
+  /** Idle timeout of a caller's connection, in ms. */
   readonly idleTimeoutMs: number;
 }
 
-/** One client account and its keys. */
+/** A client account and its API keys. */
 export interface ClientAccount {
   readonly name: string;
   readonly keys: readonly string[];
@@ -90,67 +93,67 @@
   readonly accounts: readonly ClientAccount[];
 }
 
-/** A running target; a restart is another target with another id. */
+/** A running target; a restart creates a new target with a new id. */
 export interface Target {
   /**
-   * Incarnation: the name and, if known, the start of the process. Load,
-   * health, KV cache and placements are kept by it.
+   * Identifies the incarnation: the name and, if known, the start time of the
+   * process. Load, health, KV cache and placements are tracked by this id.
    */
   readonly id: string;
-  /** Name under which it registers and answers; may outlive a restart. */
+  /** Name under which the target registers and answers; may survive restarts. */
   readonly name: string;
-  /** Start of the process, in ms since the epoch; absent if unknown. */
+  /** Start time of the process, in ms since the epoch; absent if unknown. */
   readonly bornAt: number | undefined;
   readonly service: string;
   readonly host: string;
   readonly port: number;
   readonly zone: string;
   readonly isDraining: boolean;
-  /** Position of the entry in the store. */
+  /** Position of the target's entry in the store. */
   readonly position: FactPosition;
 }
 
-/** What a caller's request says of itself. */
+/** Properties of a caller's request, decoded from its head. */
 export interface RequestFacts {
   readonly requestId: string | undefined;
-  /** How long the caller will wait, in ms. */
+  /** Time for which the caller waits for the answer, in ms. */
   readonly deadlineMs: number | undefined;
   readonly apiKey: string | undefined;
-  /** Tokens of the prompt; absent without one. */
+  /** Number of prompt tokens; absent if the request has no prompt. */
   readonly promptTokens: number | undefined;
-  /** Most tokens that may be generated. */
+  /** Maximum number of tokens to generate. */
   readonly maxOutputTokens: number | undefined;
 }
 
-/** One helper of a prompt that several engines prefill. */
+/** An engine that prefills a part of a prompt for another engine. */
 export interface PrefillHelper {
   readonly target: Target;
-  /** Reservation for a part of the prompt's KV cache. */
+  /** Ticket of the KV cache reservation for the part of the prompt. */
   readonly ticket: string | undefined;
 }
 
-/** What the gate adds to a request for a target. */
+/** Properties that the gate adds to a request for a target. */
 export interface ForwardFacts {
   readonly deadlineLeftMs: number;
   readonly target: Target;
   /** Name of the client account; absent on public routes without a key. */
   readonly account: string | undefined;
-  /** 0 is the most urgent, 9 the least; absent for the target's default. */
+  /** Priority from 0 (highest) to 9 (lowest); absent for the target's default. */
   readonly priority: number | undefined;
   readonly helpers: readonly PrefillHelper[];
-  /** Last event that the caller has, for a resumed stream. */
+  /** Id of the last event that the caller has received of a resumed stream. */
   readonly lastEventId: string | undefined;
 }
 
-/** What a target's answer says of itself. */
+/** Properties of a target's answer, decoded from its head. */
 export interface AnswerFacts {
   readonly requestId: string | undefined;
   readonly isSigned: boolean;
-  /** The target states that the request did not run. */
+  /** Whether the target states that the request was not executed. */
   readonly isNotRun: boolean;
-  /** Address (host:port) of another server that caused a refusal. */
+  /** Address (host:port) of another server whose fault caused the refusal. */
   readonly faultyAddress: string | undefined;
 }
 
-/** Header fields as they stand on the wire: name, value, name, value. */
+/** HTTP header fields in wire order: name, value, name, value. */
 export type RawHeaders = readonly string[];
