--- a/packages/direct/src/gate.test.ts
+++ b/packages/direct/src/gate.test.ts
@@ -93,7 +93,8 @@
             socket.write(request);
             freezeProcess();
           };
-          // Runs after the event loop has polled for reads in this iteration.
+          // Runs after the poll phase of the event loop, so that the timers of
+          // the gate run before it reads the request.
           setTimeout(
             () => setImmediate(writeAndFreeze),
             STOP_NOTICE_MS - FREEZE_MS / 2,
--- a/packages/direct/src/observe/decision-log.test.ts
+++ b/packages/direct/src/observe/decision-log.test.ts
@@ -4,21 +4,24 @@
 import {createDecisionLog} from './decision-log.js';
 
 describe('decision log', () => {
-  it('drops lines and says how many when nobody reads them', () => {
+  it('drops lines when the output is not read, so that buffered bytes stay bounded', () => {
     // Guards against a stalled reader of stdout that blocks the process or
     // fills its memory.
-    const stuck = new Writable({write: () => undefined, highWaterMark: 1});
+    const stalledOutput = new Writable({
+      write: () => undefined,
+      highWaterMark: 1,
+    });
     const log = createDecisionLog({
       proc: 'g',
-      output: stuck,
+      output: stalledOutput,
       readWallMs: () => 1000,
     });
     for (let i = 0; i < 5000; i++)
       log.warn('request_ended', {requestId: 'x'.repeat(4000)});
-    expect(stuck.writableLength < 300 * 1024).toEqual(true);
+    expect(stalledOutput.writableLength < 300 * 1024).toEqual(true);
   });
 
-  it('keeps failures when successes have spent the second', () => {
+  it('logs warnings after info lines have used up their budget for the second, and reports dropped lines', () => {
     const lines: string[] = [];
     const output = new Writable({
       write: (chunk, _, done) => {
--- a/packages/direct/src/observe/decision-log.ts
+++ b/packages/direct/src/observe/decision-log.ts
@@ -1,35 +1,35 @@
 /**
- * Structured log on stdout: one JSON line for each decision. Lines are dropped
- * and counted when the reader stalls, and lines of level `info` also above a
- * rate, so that logging never stalls or grows the process.
+ * Structured log with one JSON line for each decision. Lines are dropped and
+ * counted above a maximum rate, and while the reader of the output stalls,
+ * so that logging neither blocks the process nor fills its memory.
  */
 import type {Writable} from 'node:stream';
 
-/** Fields of one line; values must be JSON-serialisable. */
+/** Fields of one log line; values must be serializable as JSON. */
 export type DecisionFields = Readonly<Record<string, unknown>>;
 
 /**
- * Lines of level `info` a second; other levels have an equal budget of their
- * own.
+ * Maximum number of `info` lines per second; the levels `warn` and `error` share
+ * a separate budget of the same size.
  */
 const LINES_PER_SECOND = 120;
 
-/** Unwritten bytes above which every line is dropped. */
-const MAX_UNWRITTEN_BYTES = 256 * 1024;
+/** Number of buffered output bytes above which every line is dropped. */
+const MAX_BUFFERED_BYTES = 256 * 1024;
 
-/** Dependencies of a log. */
+/** Dependencies of a decision log. */
 export interface DecisionLogOptions {
-  /** Name of the process, in every line. */
+  /** Name of the process, which is written in every line. */
   readonly proc: string;
   readonly output: Writable;
-  /** Wall clock, in ms since the epoch; for readers only. */
+  /** Reads the wall clock, in ms since the epoch, for timestamps and rates. */
   readonly readWallMs: () => number;
 }
 
 type Level = 'info' | 'warn' | 'error';
 
 /**
- * The log of one process.
+ * Decision log of one process.
  *
  * @example
  * log.info('request_answered', {requestId, status: 200, ms: 31});
@@ -42,17 +42,17 @@
 
   constructor(private readonly options: DecisionLogOptions) {}
 
-  /** A decision or a change of state. */
+  /** Logs a decision or a change of state. */
   info(event: string, fields: DecisionFields = {}): void {
     this.write('info', event, fields);
   }
 
-  /** A failure that a caller or a dependency may notice. */
+  /** Logs a failure that a caller or a dependency may notice. */
   warn(event: string, fields: DecisionFields = {}): void {
     this.write('warn', event, fields);
   }
 
-  /** A failure that ends the process. */
+  /** Logs a failure that ends the process. */
   error(event: string, fields: DecisionFields = {}): void {
     this.write('error', event, fields);
   }
@@ -68,8 +68,8 @@
   }
 
   private admit(level: Level): boolean {
-    if (this.options.output.writableLength > MAX_UNWRITTEN_BYTES) return false;
-    // Failures are not crowded out by successes.
+    if (this.options.output.writableLength > MAX_BUFFERED_BYTES) return false;
+    // A separate budget keeps `info` lines from displacing failures.
     if (level === 'info') return ++this.infoLines <= LINES_PER_SECOND;
     return ++this.failureLines <= LINES_PER_SECOND;
   }
@@ -103,7 +103,7 @@
 }
 
 /**
- * Creates a log.
+ * Creates a decision log.
  *
  * @example
  * const log = createDecisionLog({proc: 'gate-1', output: process.stdout, readWallMs: Date.now});
--- a/packages/direct/src/observe/metrics-text.ts
+++ b/packages/direct/src/observe/metrics-text.ts
@@ -1,9 +1,9 @@
-/** Counters, gauges and latency quantiles as text, one figure a line. */
+/** Renders counters, gauges and latency quantiles as text, one value per line. */
 import type {LatencySummary} from '@nutmeggauge/core';
 
 const PREFIX = 'nutmeggauge_';
 
-/** Figures of one process. */
+/** Values of all metrics of one process. */
 export interface MetricValues {
   readonly counters: Readonly<Record<string, number>>;
   readonly gauges: Readonly<Record<string, number>>;
@@ -15,8 +15,8 @@
 }
 
 /**
- * Renders figures in the text format that Prometheus reads. Names carry
- * their unit; quantiles come from the histograms, in ms.
+ * Renders metrics in the Prometheus text format. Names carry their unit;
+ * quantiles come from the histograms, in ms.
  *
  * @example
  * renderMetrics({counters: {'call.answered': 3}, gauges: {}, latencies: {}});
--- a/packages/direct/src/observe/status-server.ts
+++ b/packages/direct/src/observe/status-server.ts
@@ -1,4 +1,4 @@
-/** Readiness for the balancer, and metrics, over HTTP. */
+/** Serves readiness checks of the load balancer, and metrics, over HTTP. */
 import {createServer} from 'node:http';
 import {openListener} from '@nutmeggauge/core';
 import {renderMetrics} from './metrics-text.js';
@@ -7,7 +7,7 @@
 import type {MetricValues} from './metrics-text.js';
 
 /**
- * The listeners that tell of one gate's state.
+ * HTTP listeners for the readiness and the metrics of one gate.
  *
  * @example
  * const status = new StatusServer();
@@ -16,7 +16,7 @@
 export class StatusServer {
   private readonly servers: Server[] = [];
 
-  /** Answers 200 on `path` while the gate is ready, else 503. */
+  /** Opens a listener that answers 200 on `path` while the gate is ready, else 503. */
   async openReady(
     address: ListenAddress,
     path: string,
@@ -31,7 +31,7 @@
     await openListener(server, address);
   }
 
-  /** Answers every path with the metrics. */
+  /** Opens a listener that answers every path with the metrics. */
   async openMetrics(
     address: ListenAddress,
     readMetrics: () => MetricValues,
@@ -44,7 +44,7 @@
     await openListener(server, address);
   }
 
-  /** Stops listening. */
+  /** Closes all listeners. */
   close(): void {
     for (const server of this.servers) server.close();
   }
--- a/packages/direct/src/test/build-target.ts
+++ b/packages/direct/src/test/build-target.ts
@@ -1,9 +1,9 @@
-/** Targets as tests of the fleet need them. */
+/** Builders of positions and targets for tests. */
 import type {FactPosition} from '../fleet/fact-position.js';
 import type {Target} from '../types.js';
 
 /**
- * A position in the first era.
+ * Builds a position, in the first era by default.
  *
  * @example
  * buildPosition(8);
@@ -12,7 +12,7 @@
   return {era, revision};
 }
 
-/** A target of the service `chat` whose name is its incarnation. */
+/** Builds a target of the service `chat` whose name equals its incarnation id. */
 export function buildTarget(
   id: string,
   revision: number,
--- a/packages/direct/src/test/fake-reports.ts
+++ b/packages/direct/src/test/fake-reports.ts
@@ -1,15 +1,15 @@
-/** Engine reports for tests. */
+/** Fake engine reports for tests. */
 import {EngineSlowdowns} from '../health/engine-slowdowns.js';
 import {EngineReports} from '../ports.js';
 import type {DecisionLog} from '../observe/decision-log.js';
 import type {EngineReport} from '../ports.js';
 import type {Target} from '../types.js';
 
-/** Engines report the slowdown that was set, or do not answer. */
+/** Reports the slowdown that a test has set for an engine, or no answer. */
 export class FakeReports extends EngineReports {
-  /** By target; absent for no answer. */
+  /** Slowdowns by target id; an engine without one does not answer. */
   readonly slowdowns = new Map<string, number>();
-  /** Polled targets, in order. */
+  /** Ids of the polled targets, in order. */
   readonly asked: string[] = [];
 
   override read(target: Target): Promise<EngineReport | undefined> {
@@ -19,7 +19,7 @@
   }
 }
 
-/** Slowdowns of a gate that polls nobody. */
+/** Creates the engine slowdowns of a gate that polls no engine. */
 export function createIdleSlowdowns(
   log: DecisionLog,
   readNow: () => number,
--- a/packages/direct/src/test/fake-store.ts
+++ b/packages/direct/src/test/fake-store.ts
@@ -1,4 +1,4 @@
-/** In-memory store of facts with the outages that tests need. */
+/** In-memory store of facts whose outages a test controls. */
 import {HistoryLostError, StoreUnavailableError} from '../errors.js';
 import {FactStore} from '../ports.js';
 import {buildPosition} from './build-target.js';
@@ -12,7 +12,7 @@
 }
 
 /**
- * A store whose facts a test sets.
+ * Store whose facts and outages a test sets.
  *
  * @example
  * const store = new FakeStore();
@@ -20,7 +20,7 @@
  */
 export class FakeStore extends FactStore {
   isDown = false;
-  /** Calls, answered or refused. */
+  /** Number of received calls, answered or failed. */
   calls = 0;
   private revision = 1;
   private config: FleetConfig | undefined;
@@ -34,7 +34,7 @@
     this.record({kind: 'config', config});
   }
 
-  /** Publishes a target; its revision is set here. */
+  /** Publishes a target at the next revision, whatever its own position is. */
   publishTarget(target: Target): void {
     const position = buildPosition(this.revision + 1);
     const stored = {...target, position};
@@ -42,7 +42,7 @@
     this.record({kind: 'target', target: stored});
   }
 
-  /** Removes a target's entry. */
+  /** Removes the entry of a target. */
   dropTarget(id: string): void {
     this.targets.delete(id);
     this.record({
@@ -53,7 +53,7 @@
     });
   }
 
-  /** Drops the history: watches must read everything again. */
+  /** Drops the history, so that watches must read a full snapshot again. */
   dropHistory(): void {
     this.history = [];
     this.notify();
--- a/packages/direct/src/test/fake-target.ts
+++ b/packages/direct/src/test/fake-target.ts
@@ -1,14 +1,14 @@
-/** A target over HTTP whose answers a test scripts. */
+/** HTTP target whose answers a test scripts. */
 import {createServer} from 'node:http';
 import {NO_POSITION} from '../fleet/fact-position.js';
 import {openListener, readPort} from '@nutmeggauge/core';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {Target} from '../types.js';
 
-/** Acts on one request that reached the target. */
+/** Handles a request that the target has received. */
 export type TargetScript = (req: IncomingMessage, res: ServerResponse) => void;
 
-/** Head of a signed answer to `req`. */
+/** Builds the head of a signed answer to `req`. */
 export function buildSignedHead(req: IncomingMessage): Record<string, string> {
   return {
     'x-test-id': String(req.headers['x-test-id']),
@@ -16,13 +16,13 @@
   };
 }
 
-/** Answers whole with a signature. */
+/** Sends a complete, signed answer. */
 export function answerWhole(req: IncomingMessage, res: ServerResponse): void {
   res.writeHead(200, buildSignedHead(req));
   res.end('whole');
 }
 
-/** States that the request did not run. */
+/** Answers 503 and states that the request was not executed. */
 export function answerNotRun(req: IncomingMessage, res: ServerResponse): void {
   res.writeHead(503, {
     'x-test-id': String(req.headers['x-test-id']),
@@ -31,7 +31,7 @@
   res.end();
 }
 
-/** Formats events `from` to `to`, both included. */
+/** Formats server-sent events with the ids `from` to `to`, both included. */
 export function formatEvents(from: number, to: number): string {
   let text = '';
   for (let id = from; id <= to; id++)
@@ -40,13 +40,13 @@
 }
 
 /**
- * A scripted target.
+ * Target whose answers a script gives.
  *
  * @example
  * const target = await openFakeTarget('t1', 'orders', answerWhole);
  */
 export class FakeTarget {
-  /** Ids of the requests that reached it, in order. */
+  /** Ids of the received requests, in order. */
   readonly received: string[] = [];
   readonly heads: IncomingMessage['headers'][] = [];
   script: TargetScript;
@@ -66,7 +66,7 @@
     });
   }
 
-  /** Its entry as the store lists it. */
+  /** Entry of the target for the store. */
   get entry(): Target {
     return {
       id: this.id,
@@ -86,7 +86,7 @@
     await openListener(this.server, {host: '127.0.0.1', port: 0});
   }
 
-  /** Ends it like a crash: every connection is reset. */
+  /** Closes the target as a crash does, by resetting every connection. */
   close(): void {
     this.server.closeAllConnections();
     this.server.close();
--- a/packages/direct/src/test/gate-world.ts
+++ b/packages/direct/src/test/gate-world.ts
@@ -1,4 +1,4 @@
-/** A gate on loopback with a store and targets for tests. */
+/** Test harness: a gate on loopback with a fake store and fake targets. */
 import {request} from 'node:http';
 import {Writable} from 'node:stream';
 import {buildLoopbackHost} from '@nutmeggauge/core';
@@ -15,7 +15,7 @@
 import type {EngineFigures, FleetConfig, Route} from '../types.js';
 import type {FakeTarget, TargetScript} from './fake-target.js';
 
-/** A typical engine. */
+/** Cost model of a typical engine. */
 export const ENGINE: EngineFigures = {
   slots: 11,
   kvCapacityTokens: 315_000,
@@ -44,7 +44,10 @@
   isResumable: false,
 };
 
-/** The default configuration: one route of each kind, one account. */
+/**
+ * Builds the default configuration, with routes of each kind and one client
+ * account.
+ */
 export function buildConfig(
   version: number,
   changes: Partial<FleetConfig> = {},
@@ -92,7 +95,7 @@
   };
 }
 
-/** A configuration with many routes of some 250 bytes each. */
+/** Builds a configuration with many routes of about 250 bytes each. */
 export function buildLargeConfig(
   version: number,
   routeCount: number,
@@ -106,7 +109,7 @@
   return buildConfig(version, {routes});
 }
 
-/** Grants and records all reservations. */
+/** Records reservations, and answers each with the outcome that a test sets. */
 export class FakeReservations extends KvReservations {
   readonly held = new Map<string, number>();
   /** Times of reservations and renewals on the monotonic clock, in ms. */
@@ -132,7 +135,7 @@
   }
 }
 
-/** What a caller received. */
+/** Answer that a caller received. */
 export interface CallerAnswer {
   readonly status: number;
   readonly body: string;
@@ -142,7 +145,7 @@
   readonly ms: number;
 }
 
-/** Options of one call. */
+/** Options of a call to the gate. */
 export interface CallOptions {
   readonly id?: string;
   readonly key?: string;
@@ -150,12 +153,12 @@
   readonly tokens?: number;
   readonly method?: string;
   readonly body?: string;
-  /** Disconnects after this time, in ms. */
+  /** Time after which the caller disconnects, in ms. */
   readonly leaveAfterMs?: number;
 }
 
 /**
- * A gate, its store and its targets.
+ * Gate under test with its fake store and fake targets.
  *
  * @example
  * const world = await openGateWorld();
@@ -208,7 +211,7 @@
     );
   }
 
-  /** Adds a running target to the store. */
+  /** Starts a target and publishes it in the store. */
   async addTarget(
     id: string,
     service: string,
@@ -225,12 +228,12 @@
     for (const target of this.targets) target.script = script;
   }
 
-  /** Calls the gate and waits for the end of the answer. */
+  /** Calls the gate and waits until the answer has ended. */
   call(path: string, options: CallOptions = {}): Promise<CallerAnswer> {
     return callGate({host: this.host, port: this.port}, path, options);
   }
 
-  /** Checks readiness like the balancer. */
+  /** Returns the status of a readiness check, as the load balancer sends it. */
   async askReady(): Promise<number> {
     const answer = await callGate(
       {host: this.host, port: this.port + 1},
@@ -240,7 +243,7 @@
     return answer.status;
   }
 
-  /** Reads a gauge by its name without the prefix. */
+  /** Reads a gauge from the metrics by its name without the prefix. */
   async readGauge(name: string): Promise<number> {
     const address = {host: this.host, port: this.port + 3};
     const {body} = await callGate(address, '/metrics', {});
@@ -252,12 +255,13 @@
   async waitUntil(check: () => boolean | Promise<boolean>): Promise<void> {
     const giveUpAt = performance.now() + 2000;
     while (!(await check())) {
-      if (performance.now() > giveUpAt) throw new Error('still not so');
+      if (performance.now() > giveUpAt)
+        throw new Error('condition not met within 2,000 ms');
       await new Promise(resolve => setTimeout(resolve, 10));
     }
   }
 
-  /** Stops everything. */
+  /** Closes the gate and all targets. */
   close(): void {
     this.gate.close();
     for (const target of this.targets) target.close();
@@ -314,7 +318,7 @@
 let lastPort = 21_000;
 
 /**
- * Starts a gate with the default configuration.
+ * Starts a gate, with the default configuration unless another is given.
  *
  * @example
  * const world = await openGateWorld({host: '127.0.0.2'});
--- a/packages/direct/src/test/test-dialect.ts
+++ b/packages/direct/src/test/test-dialect.ts
@@ -1,4 +1,4 @@
-/** Header names for tests, independent of any adapter. */
+/** Header dialect for tests, independent of any adapter. */
 import {stripHopByHop} from '../forward/caller-response.js';
 import {HeaderDialect} from '../ports.js';
 import type {
@@ -15,7 +15,7 @@
 }
 
 /**
- * The tests' dialect.
+ * Dialect whose header names begin with `x-test-`.
  *
  * @example
  * createDirectGate(settings, {dialect: new TestDialect(), …});
