--- a/packages/direct/src/fleet/target-table.ts
+++ b/packages/direct/src/fleet/target-table.ts
@@ -162,9 +162,9 @@
     if (known !== undefined && isEarlierIncarnation(target, known)) return;
     const left = this.left.get(target.id);
     if (left !== undefined && !isNewer(target.position, left.position)) return;
-    const doubt = this.doubts.get(target.name);
-    if (doubt !== undefined && !isNewer(target.position, doubt.position)) {
-      doubt.entry = target;
+    const suspect = this.doubts.get(target.name);
+    if (suspect !== undefined && !isNewer(target.position, suspect.position)) {
+      suspect.entry = target;
       return;
     }
     this.set(target, source);
@@ -176,8 +176,8 @@
     position: FactPosition,
     isMalformed: boolean,
   ): void {
-    const doubt = this.doubts.get(name);
-    if (doubt !== undefined && isNewer(position, doubt.position))
+    const suspect = this.doubts.get(name);
+    if (suspect !== undefined && isNewer(position, suspect.position))
       this.doubts.delete(name);
     const known = this.targets.get(name);
     if (known === undefined || isNewer(known.position, position)) return;
--- a/packages/direct/src/peers/facts-hand-over.test.ts
+++ b/packages/direct/src/peers/facts-hand-over.test.ts
@@ -58,15 +58,15 @@
     // has newer facts.
     const state = createFleetState(() => 0);
     state.applyChange({kind: 'config', config: buildConfig(6)});
-    const news = {
+    const newerFacts = {
       position: buildPosition(3),
       targets: [buildTarget('t', 3)],
       held: [],
       doubts: [],
     };
     const peerFacts: Readonly<Record<string, SharedFacts>> = {
-      a: {...news, config: undefined},
-      b: {...news, config: buildConfig(7)},
+      a: {...newerFacts, config: undefined},
+      b: {...newerFacts, config: buildConfig(7)},
     };
     const listUpdateSources = () =>
       Object.keys(peerFacts).filter(
--- a/packages/direct/src/peers/peer-group.test.ts
+++ b/packages/direct/src/peers/peer-group.test.ts
@@ -95,7 +95,7 @@
     await two.group.stop();
   });
 
-  const isKnown = (member: Member) =>
+  const hasRemoteLoad = (member: Member) =>
     member.tracker.describe('e2', performance.now()).backlogMs > 0;
 
   it('discovers the other gates when one seed is down', () => {
@@ -107,17 +107,17 @@
     const placement = buildPlacement(one, 1);
     one.tracker.add(placement);
     one.group.announcePlaced(placement);
-    await waitUntil(() => isKnown(two));
+    await waitUntil(() => hasRemoteLoad(two));
     one.tracker.remove(placement.key, performance.now());
     one.group.announceEnded(placement.key);
-    await waitUntil(() => !isKnown(two));
+    await waitUntil(() => !hasRemoteLoad(two));
   });
 
   it('removes a placement that has ended even when the end was not announced', async () => {
     const placement = buildPlacement(one, 1);
     one.tracker.add(placement);
     one.group.announcePlaced(placement);
-    await waitUntil(() => isKnown(two));
+    await waitUntil(() => hasRemoteLoad(two));
     one.tracker.remove(placement.key, performance.now());
     await waitUntil(
       () => two.tracker.describe('e1', performance.now()).active === 0,
@@ -146,8 +146,9 @@
     try {
       const config = buildConfig(7);
       one.state.applyChange({kind: 'config', config});
-      const hasNews = (member: Member) => member.state.config?.version === 7;
-      await waitUntil(() => hasNews(two) && hasNews(three));
+      const hasNewConfig = (member: Member) =>
+        member.state.config?.version === 7;
+      await waitUntil(() => hasNewConfig(two) && hasNewConfig(three));
     } finally {
       await three.group.stop();
     }
--- a/packages/direct/src/peers/peer-group.ts
+++ b/packages/direct/src/peers/peer-group.ts
@@ -358,12 +358,12 @@
 
   private listUpdateSources(): readonly string[] {
     if (this.isLeaving) return [];
-    const ahead = this.table
+    const sources = this.table
       .listAlive()
       .filter(
         peer => peer.incarnation !== undefined && this.isUpdateSource(peer),
       );
-    return ahead.map(({host}) => host);
+    return sources.map(({host}) => host);
   }
 
   private scheduleChangeHeartbeat(): void {
--- a/packages/direct/src/peers/shared-facts.test.ts
+++ b/packages/direct/src/peers/shared-facts.test.ts
@@ -74,11 +74,14 @@
   it('omit the configuration and the targets that the peer already knows', () => {
     const state = createFleetState(() => 0);
     state.applyShared(decodeSharedFacts(describeOnWire()));
-    const news = state.describeShared({
+    const newerFacts = state.describeShared({
       configVersion: 7,
       position: buildPosition(9),
     });
-    expect([news.config, news.targets.length]).toEqual([undefined, 0]);
+    expect([newerFacts.config, newerFacts.targets.length]).toEqual([
+      undefined,
+      0,
+    ]);
     const targets = state.describeShared({
       configVersion: 7,
       position: buildPosition(3),
--- a/packages/direct/src/test/gate-world.ts
+++ b/packages/direct/src/test/gate-world.ts
@@ -161,9 +161,9 @@
  * Gate under test with its fake store and fake targets.
  *
  * @example
- * const world = await openGateWorld();
- * await world.addTarget('t1', 'orders', answerWhole);
- * await world.call('/safe/x');
+ * const harness = await openGateWorld();
+ * await harness.addTarget('t1', 'orders', answerWhole);
+ * await harness.call('/safe/x');
  */
 export class GateWorld {
   readonly store = new FakeStore();
@@ -321,7 +321,7 @@
  * Starts a gate, with the default configuration unless another is given.
  *
  * @example
- * const world = await openGateWorld({host: '127.0.0.2'});
+ * const harness = await openGateWorld({host: '127.0.0.2'});
  */
 export async function openGateWorld(
   options: {
@@ -333,14 +333,14 @@
   } = {},
 ): Promise<GateWorld> {
   const port = options.port ?? (lastPort += 10);
-  const world = new GateWorld(
+  const harness = new GateWorld(
     options.host ?? buildLoopbackHost(0),
     port,
     options.seedHosts ?? [],
     options.retryBounds,
   );
   if (options.config !== 'none')
-    world.store.publishConfig(options.config ?? buildConfig(1));
-  await world.gate.start();
-  return world;
+    harness.store.publishConfig(options.config ?? buildConfig(1));
+  await harness.gate.start();
+  return harness;
 }
