--- a/packages/direct/src/fleet/store-watcher.test.ts
+++ b/packages/direct/src/fleet/store-watcher.test.ts
@@ -11,7 +11,7 @@
 
 describe('store watcher', () => {
   it('reads a full snapshot again after the store has dropped its history', async () => {
-    // Guards against missing changes that the store has dropped from its
+    // Guards against losing changes that the store has dropped from its
     // history during an outage.
     const harness = await openGateWorld();
     try {
--- a/packages/direct/src/gate.test.ts
+++ b/packages/direct/src/gate.test.ts
@@ -70,7 +70,7 @@
     }
   });
 
-  it('answers a request that arrived unread when the gate stops accepting requests', async () => {
+  it('answers 503 to a request that is still unread when the gate stops accepting requests', async () => {
     // Guards against resetting connections with an unread request during a
     // drain.
     const harness = await openGateWorld();
