--- a/packages/direct/src/peers/wait-unref.ts
+++ b/packages/direct/src/peers/wait-unref.ts
@@ -5,7 +5,7 @@
  * Waits for `ms` without keeping the process alive.
  *
  * @example
- * await waitIdly(50);
+ * await waitUnref(50);
  */
 export function waitUnref(ms: number): Promise<void> {
   return sleep(ms, undefined, {ref: false});
