--- a/packages/direct/src/gate.ts
+++ b/packages/direct/src/gate.ts
@@ -1,6 +1,6 @@
 /**
- * The direct gate: one process on an entry host that forwards callers' requests
- * straight to targets.
+ * The direct gate: a process on an entry host that forwards callers' requests
+ * directly to targets.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
@@ -28,7 +28,7 @@
 import type {ForwardContext} from './forward/context.js';
 import type {Ingress} from './ingress/ingress.js';
 import type {DecisionLog} from './observe/decision-log.js';
-import type {MetricFigures} from './observe/metrics-text.js';
+import type {MetricValues} from './observe/metrics-text.js';
 import type {
   EngineReports,
   FactStore,
@@ -38,40 +38,40 @@
 import type {RetryBounds} from './retry/shared-retry-budget.js';
 
 /**
- * Time until the balancer sends nothing more to a stopping gate, in ms: two
- * failed readiness checks.
+ * Time until the load balancer sends no more requests to a stopping gate, in ms;
+ * long enough for two failed readiness checks.
  */
 const DRAIN_NOTICE_MS = 2900;
 
-/** Part of the grace period reserved for the exit, in ms. */
-const DRAIN_RESERVE_MS = 500;
+/** Part of the grace period that is reserved for the exit, in ms. */
+const DRAIN_EXIT_RESERVE_MS = 500;
 
-/** How often a drain checks for open requests, in ms. */
+/** Interval at which a drain checks for open requests, in ms. */
 const DRAIN_POLL_MS = 50;
 
-/** How often held targets are checked, in ms. */
-const SWEEP_MS = 100;
+/** Interval at which held targets are checked for expiry, in ms. */
+const HOLD_CHECK_INTERVAL_MS = 100;
 
-/** Addresses and bounds of a gate. */
+/** Settings of a direct gate. */
 export interface DirectGateSettings {
   readonly node: string;
   readonly zone: string;
-  /** Where callers connect. */
+  /** Address that callers connect to. */
   readonly ingress: ListenAddress;
-  /** Where the balancer checks readiness. */
+  /** Address where the load balancer checks readiness. */
   readonly ready: ListenAddress;
-  /** Where peers connect, over TCP and UDP. */
+  /** Address that peers use, over TCP and UDP. */
   readonly peers: ListenAddress;
-  /** Where metrics are served; absent for nowhere. */
+  /** Address where metrics are served; absent to serve none. */
   readonly metrics: ListenAddress | undefined;
   readonly seedHosts: readonly string[];
   readonly retryBounds: RetryBounds;
-  /** Time between the order to stop and the kill, in ms. */
+  /** Time between the request to stop and the kill of the process, in ms. */
   readonly stopGraceMs: number;
 }
 
-/** What an adapter provides. */
-export interface DirectGateParts {
+/** Dependencies of a direct gate, which an adapter provides. */
+export interface DirectGateDependencies {
   readonly dialect: HeaderDialect;
   readonly store: FactStore;
   readonly reservations: KvReservations;
@@ -80,10 +80,10 @@
 }
 
 /**
- * One direct gate.
+ * Direct gate with its listeners, its store watcher and its peers.
  *
  * @example
- * const gate = createDirectGate(settings, parts);
+ * const gate = createDirectGate(settings, dependencies);
  * await gate.start();
  */
 export class DirectGate {
@@ -98,25 +98,25 @@
   private readonly ingress: Ingress;
   private readonly context: ForwardContext;
   private readonly status = new StatusServer();
-  private sweep: NodeJS.Timeout | undefined;
+  private holdCheckTimer: NodeJS.Timeout | undefined;
   private draining: Promise<void> | undefined;
 
   constructor(
     private readonly settings: DirectGateSettings,
-    private readonly parts: DirectGateParts,
+    private readonly dependencies: DirectGateDependencies,
   ) {
     const {state, readNow, health, tracker} = this;
-    const {log} = parts;
+    const {log} = dependencies;
     this.watcher = createStoreWatcher({
-      store: parts.store,
+      store: dependencies.store,
       state,
       log,
       readNow,
       countGates: () => this.peers.countGates(),
     });
     this.slowdowns = new EngineSlowdowns({
-      reports: parts.reports,
-      // Reports have a cost: without open streams no engine is polled.
+      reports: dependencies.reports,
+      // Polling has a cost, so engines are polled only while streams are open.
       listEngines: () => (tracker.isEmpty ? [] : state.listEngines()),
       isMine: ({id}) =>
         findHome(this.peers.listGates(), id) === settings.peers.host,
@@ -139,7 +139,7 @@
       readContactMs: () => this.watcher.contactMs,
     });
     this.context = {
-      dialect: parts.dialect,
+      dialect: dependencies.dialect,
       state,
       health,
       budget: createSharedRetryBudget(settings.retryBounds, () =>
@@ -164,8 +164,8 @@
         }),
       ),
       exchanges: new OpenExchanges(),
-      reservations: parts.reservations,
-      reports: parts.reports,
+      reservations: dependencies.reservations,
+      reports: dependencies.reports,
       log,
       counters: this.counters,
       ttftMs: createLatencyHistogram(),
@@ -180,34 +180,40 @@
 
   /** Opens all listeners and starts following the store. */
   async start(): Promise<void> {
-    const {settings, parts} = this;
+    const {settings, dependencies} = this;
     void this.watcher.run();
     await this.peers.start();
     this.slowdowns.start();
     await this.status.openReady(
       settings.ready,
-      parts.dialect.readyPath,
+      dependencies.dialect.readyPath,
       () => this.isReady,
     );
     if (settings.metrics !== undefined)
-      await this.status.openMetrics(settings.metrics, () => this.readFigures());
+      await this.status.openMetrics(settings.metrics, () => this.readMetrics());
     await this.ingress.start(settings.ingress);
-    this.sweep = setInterval(() => this.state.expireHeld(), SWEEP_MS);
-    parts.log.info('gate_started', {
+    this.holdCheckTimer = setInterval(
+      () => this.state.expireHeld(),
+      HOLD_CHECK_INTERVAL_MS,
+    );
+    dependencies.log.info('gate_started', {
       zone: settings.zone,
       seeds: settings.seedHosts,
     });
   }
 
-  /** Applies settings that changed at run time. */
+  /** Applies settings that were changed at run time. */
   reload(settings: Pick<DirectGateSettings, 'seedHosts'>): void {
     this.peers.setSeeds(settings.seedHosts);
-    this.parts.log.info('settings_reloaded', {seeds: settings.seedHosts});
+    this.dependencies.log.info('settings_reloaded', {
+      seeds: settings.seedHosts,
+    });
   }
 
   /**
-   * Graceful shutdown: readiness fails at once, requests are served until the
-   * balancer has noticed, later ones are sent to other gates.
+   * Shuts down gracefully. Readiness fails at once, and requests are still
+   * accepted until the load balancer has noticed; later ones are refused, so
+   * that callers retry them at other gates.
    */
   drain(): Promise<void> {
     this.draining ??= this.runDrain();
@@ -219,28 +225,29 @@
   }
 
   private async runDrain(): Promise<void> {
-    const {log} = this.parts;
+    const {log} = this.dependencies;
     log.info('drain_started', {inFlight: this.ingress.inFlight});
     const startedAt = this.readNow();
-    const giveUpAt = startedAt + this.settings.stopGraceMs - DRAIN_RESERVE_MS;
+    const giveUpAt =
+      startedAt + this.settings.stopGraceMs - DRAIN_EXIT_RESERVE_MS;
     await sleep(Math.min(DRAIN_NOTICE_MS, this.settings.stopGraceMs / 2));
     await this.ingress.stopTaking();
-    await this.waitForAnswers(giveUpAt);
+    await this.waitForOpenRequests(giveUpAt);
     await this.ingress.closeIdle();
-    // What was read last.
-    await this.waitForAnswers(giveUpAt);
+    // Waits for the requests that were read before idle connections were closed.
+    await this.waitForOpenRequests(giveUpAt);
     log.info('drain_finished', {left: this.ingress.inFlight});
     await this.peers.stop();
   }
 
-  private async waitForAnswers(giveUpAt: number): Promise<void> {
+  private async waitForOpenRequests(giveUpAt: number): Promise<void> {
     while (this.ingress.inFlight > 0 && this.readNow() < giveUpAt)
       await sleep(DRAIN_POLL_MS);
   }
 
-  /** Stops everything at once. */
+  /** Closes all listeners and connections at once, without a drain. */
   close(): void {
-    clearInterval(this.sweep);
+    clearInterval(this.holdCheckTimer);
     this.watcher.stop();
     this.slowdowns.stop();
     void this.peers.stop();
@@ -253,7 +260,7 @@
     return this.peers.isSynchronized;
   }
 
-  private readFigures(): MetricFigures {
+  private readMetrics(): MetricValues {
     return {
       counters: this.counters.read(),
       latencies: {
@@ -272,7 +279,7 @@
     };
   }
 
-  /** Slots of all engines of a service. */
+  /** Counts the slots of all usable engines of a service. */
   private countSlots(service: string): number {
     const slots = this.state.findService(service)?.engine?.slots ?? 0;
     return this.state.listUsable(service).length * slots;
@@ -285,7 +292,7 @@
 
   private observeChanges(): void {
     this.state.onRestore(({source, before, after, held, doubted}) =>
-      this.parts.log.warn('store_restored', {
+      this.dependencies.log.warn('store_restored', {
         source,
         era: after.era,
         revision: after.revision,
@@ -299,7 +306,7 @@
     this.state.onChange(event => {
       if (event.event === 'target_removed') this.health.drop(event.id);
       if (event.event === 'target_added') this.handleNewTarget(event.id);
-      this.parts.log.info(event.event, {
+      this.dependencies.log.info(event.event, {
         id: event.id,
         source: event.source,
         revision: event.revision,
@@ -313,11 +320,11 @@
  * Creates a direct gate.
  *
  * @example
- * const gate = createDirectGate(settings, parts);
+ * const gate = createDirectGate(settings, dependencies);
  */
 export function createDirectGate(
   settings: DirectGateSettings,
-  parts: DirectGateParts,
+  dependencies: DirectGateDependencies,
 ): DirectGate {
-  return new DirectGate(settings, parts);
+  return new DirectGate(settings, dependencies);
 }
--- a/packages/direct/src/peers/facts-fetcher.ts
+++ b/packages/direct/src/peers/facts-fetcher.ts
@@ -1,9 +1,9 @@
 /**
- * Fetches newer facts from a peer when the store is slow, down, or refuses this
- * gate.
+ * Fetches newer facts from peers when the store is slow, down, or unreachable
+ * for this gate.
  */
 import {DecodeError, FactsBusyError} from '../errors.js';
-import {waitIdly} from './wait-idly.js';
+import {waitUnref} from './wait-unref.js';
 import type {
   FleetState,
   SharedFacts,
@@ -12,116 +12,129 @@
 import type {DecisionLog} from '../observe/decision-log.js';
 
 /**
- * How long a peer may be ahead before it is asked, in ms: the watch of this
- * gate usually delivers first.
+ * Delay before a peer with newer facts is asked for them, in ms; within this
+ * time the watch of this gate usually delivers the same facts.
  */
-const AHEAD_MS = 400;
+const FETCH_DELAY_MS = 400;
 
-/** Jitter added to it, in ms, so that gates do not ask at the same moment. */
-const AHEAD_SPREAD_MS = 400;
+/** Jitter added to the delay, in ms, which keeps gates from asking all at once. */
+const FETCH_JITTER_MS = 400;
 
-/** Jitter while the store does not answer this gate, in ms. */
-const UNHEARD_SPREAD_MS = 150;
+/** Jitter that replaces the delay while the store does not answer, in ms. */
+const STORE_SILENT_JITTER_MS = 150;
 
-/** Pause after a busy answer, in ms, and its jitter. */
-const RETRY_MS = 100;
-const RETRY_SPREAD_MS = 150;
+/** Delay between two requests, in ms, and the jitter added to it, in ms. */
+const RETRY_DELAY_MS = 100;
+const RETRY_JITTER_MS = 150;
 
-/** Most requests in a row; a later heartbeat starts again. */
-const MOST_ASKS = 10;
+/** Maximum number of requests of one run; a later heartbeat starts another. */
+const MAX_REQUESTS = 10;
 
 /** Dependencies of the fetcher. */
 export interface FactsFetcherOptions {
   readonly state: FleetState;
-  /** True while the store has not answered this gate for too long. */
+  /** Returns whether the last answer from the store is too old. */
   readonly isStoreSilent: () => boolean;
-  /** Hosts of live peers with newer facts. */
-  readonly listAhead: () => readonly string[];
+  /** Lists the hosts of live peers that have newer facts than this gate. */
+  readonly listUpdateSources: () => readonly string[];
   readonly fetch: (host: string, known: FactVersions) => Promise<SharedFacts>;
   readonly log: DecisionLog;
   readonly readNow: () => number;
-  /** Uniform in [0, 1). */
+  /** Returns a uniform random number in [0, 1). */
   readonly random: () => number;
-  /** Waits; injected by tests. */
+  /**
+   * Waits for a time in ms; tests replace it.
+   *
+   * @default waitUnref
+   */
   readonly wait?: (ms: number) => Promise<void>;
 }
 
 /**
- * The fetcher of one gate.
+ * Fetches newer facts from the peers of one gate.
  *
  * @example
  * const fetcher = createFactsFetcher(options);
  * fetcher.schedule();
  */
 export class FactsFetcher {
-  private isUnderWay = false;
+  private isRunning = false;
 
   constructor(private readonly options: FactsFetcherOptions) {}
 
-  /** Schedules a fetch, unless the store is faster. */
+  /**
+   * Schedules a fetch after a delay, unless one is scheduled or running. Nothing
+   * is fetched if the store delivers the facts during the delay.
+   */
   schedule(): void {
-    if (this.isUnderWay) return;
-    this.isUnderWay = true;
-    void this.run().finally(() => (this.isUnderWay = false));
+    if (this.isRunning) return;
+    this.isRunning = true;
+    void this.run().finally(() => (this.isRunning = false));
   }
 
   private async run(): Promise<void> {
-    const {listAhead, isStoreSilent} = this.options;
-    if (isStoreSilent()) await this.wait(0, UNHEARD_SPREAD_MS);
-    else await this.wait(AHEAD_MS, AHEAD_SPREAD_MS);
+    const {listUpdateSources, isStoreSilent} = this.options;
+    if (isStoreSilent()) await this.wait(0, STORE_SILENT_JITTER_MS);
+    else await this.wait(FETCH_DELAY_MS, FETCH_JITTER_MS);
     const failed = new Set<string>();
-    // One answer may bring only a part: no peer needs to have all the news.
-    for (let asks = 0; asks < MOST_ASKS; asks++) {
-      const host = this.pickAhead(failed);
+    // An answer may be partial, because a single peer need not have both the
+    // newest configuration and the newest targets.
+    for (let requestCount = 0; requestCount < MAX_REQUESTS; requestCount++) {
+      const host = this.pickUpdateSource(failed);
       if (host === undefined) return;
       const goesOn = await this.tryFetch(host, failed);
-      if (!goesOn || listAhead().length === 0) return;
-      await this.wait(RETRY_MS, RETRY_SPREAD_MS);
+      if (!goesOn || listUpdateSources().length === 0) return;
+      await this.wait(RETRY_DELAY_MS, RETRY_JITTER_MS);
     }
   }
 
-  /** A random peer, so that gates spread over all that are ahead. */
-  private pickAhead(failed: ReadonlySet<string>): string | undefined {
-    const {listAhead, random} = this.options;
-    const hosts = listAhead().filter(host => !failed.has(host));
+  /** Picks a random peer with newer facts, which spreads the load over them. */
+  private pickUpdateSource(failed: ReadonlySet<string>): string | undefined {
+    const {listUpdateSources, random} = this.options;
+    const hosts = listUpdateSources().filter(host => !failed.has(host));
     return hosts[Math.floor(random() * hosts.length)];
   }
 
-  /** Returns whether another peer may be asked after this one. */
+  /** Fetches from one peer; returns whether another request is worthwhile. */
   private async tryFetch(host: string, failed: Set<string>): Promise<boolean> {
     const {state, fetch, log, readNow} = this.options;
     const startedAt = readNow();
-    const countMs = () => Math.round(readNow() - startedAt);
+    const readElapsedMs = () => Math.round(readNow() - startedAt);
     try {
       state.applyShared(await fetch(host, state.versions));
     } catch (error) {
       if (error instanceof FactsBusyError) {
-        log.info('facts_from_peer_busy', {peer: host, ms: countMs()});
+        log.info('facts_from_peer_busy', {peer: host, ms: readElapsedMs()});
         return true;
       }
       failed.add(host);
       const reason = (error as Error).message;
-      log.warn('facts_from_peer_failed', {peer: host, ms: countMs(), reason});
-      // Peers of another version would all send the same facts.
+      log.warn('facts_from_peer_failed', {
+        peer: host,
+        ms: readElapsedMs(),
+        reason,
+      });
+      // Facts that cannot be decoded come from another version of the gate, and
+      // other peers would send the same.
       return !(error instanceof DecodeError);
     }
     log.info('facts_from_peer', {
       peer: host,
       configVersion: state.config?.version,
       ...state.position,
-      ms: countMs(),
+      ms: readElapsedMs(),
     });
     return true;
   }
 
-  private wait(ms: number, spreadMs: number): Promise<void> {
-    const {random, wait = waitIdly} = this.options;
-    return wait(ms + random() * spreadMs);
+  private wait(ms: number, jitterMs: number): Promise<void> {
+    const {random, wait = waitUnref} = this.options;
+    return wait(ms + random() * jitterMs);
   }
 }
 
 /**
- * Creates a fetcher.
+ * Creates a fetcher; `schedule` starts a fetch.
  *
  * @example
  * const fetcher = createFactsFetcher(options);
--- a/packages/direct/src/peers/peer-group.ts
+++ b/packages/direct/src/peers/peer-group.ts
@@ -1,13 +1,13 @@
 /**
- * Membership and gossip among the gates: heartbeats, placements, and who has
- * newer facts. Gates are found through seeds, which may be stale or down; known
- * hosts are contacted for a while after they fall silent, so a restarted gate
- * is found without seeds.
+ * Membership and gossip among gates: heartbeats, placements, and the versions
+ * of known facts. Gates are discovered through seeds, which may be outdated or
+ * down. Known hosts are still contacted for a while after their heartbeats have
+ * stopped, so that a restarted gate is found without seeds.
  */
 import {createSocket} from 'node:dgram';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {PlacementAnnouncer} from '../placement/prompt-placer.js';
-import {LAPSE_HOLD_MS} from '../fleet/target-table.js';
+import {HOLD_AFTER_OUTAGE_MS} from '../fleet/target-table.js';
 import {fetchSharedFacts, openFactsServer} from './facts-exchange.js';
 import {createFactsFetcher} from './facts-fetcher.js';
 import {DatagramSchema, toPlacement, toWirePlacement} from './messages.js';
@@ -23,27 +23,30 @@
 import type {Heartbeat, Datagram} from './messages.js';
 import type {Peer} from './peer-table.js';
 
-/** Period of the heartbeats, in ms. */
+/** Interval between heartbeats, in ms. */
 const HEARTBEAT_MS = 1000;
 
-/** Shortest time between heartbeats that news triggers, in ms. */
-const NEWS_MIN_MS = 100;
+/**
+ * Delay before a heartbeat that announces a change of facts, in ms; changes
+ * within it share one heartbeat.
+ */
+const CHANGE_HEARTBEAT_DELAY_MS = 100;
 
 /**
- * Age of the store's last answer from which it counts as silent, in ms: above
- * one long poll.
+ * Age of the last answer above which the store counts as silent, in ms; longer
+ * than one long poll.
  */
 const STORE_SILENT_MS = 3000;
 
-/** Time for the last messages to leave, in ms. */
-const LEAVE_MS = 30;
+/** Time for the last datagrams to be sent before the socket closes, in ms. */
+const LEAVE_FLUSH_MS = 30;
 
 /** Dependencies of a peer group. */
 export interface PeerGroupOptions {
-  /** Own address; it identifies a gate. */
+  /** Address of this gate, which also identifies it among the peers. */
   readonly host: string;
   readonly port: number;
-  /** New at each start of the process. */
+  /** Identifies one run of the process; differs after each restart. */
   readonly incarnation: string;
   readonly seedHosts: readonly string[];
   readonly state: FleetState;
@@ -51,16 +54,17 @@
   readonly slowdowns: EngineSlowdowns;
   readonly log: DecisionLog;
   readonly readNow: () => number;
-  /** Age of this gate's last answer from the store, in ms. */
+  /** Returns the age of the last answer from the store, in ms. */
   readonly readStoreAgeMs: () => number;
   /**
-   * Time for which the store has answered this gate without an outage, in ms.
+   * Returns the time for which the store has answered this gate without an
+   * outage, in ms; 0 during an outage.
    */
   readonly readContactMs: () => number;
 }
 
 /**
- * The peers of one gate.
+ * Communicates with the peers of one gate.
  *
  * @example
  * const peers = new PeerGroup(options);
@@ -72,9 +76,9 @@
   private socket: DatagramSocket | undefined;
   private server: Server | undefined;
   private timer: NodeJS.Timeout | undefined;
-  private newsTimer: NodeJS.Timeout | undefined;
+  private changeTimer: NodeJS.Timeout | undefined;
   private readonly fetcher: FactsFetcher;
-  private readonly sync: StartupSync;
+  private readonly startupSync: StartupSync;
   private isLeaving = false;
 
   constructor(private readonly options: PeerGroupOptions) {
@@ -84,10 +88,10 @@
     const fetch = (host: string, known: FactVersions) =>
       fetchSharedFacts(`${host}:${port}`, known);
     this.table = new PeerTable(ownHost, readNow);
-    this.sync = new StartupSync({
+    this.startupSync = new StartupSync({
       state,
       listPeers: () => this.listGates().filter(host => host !== ownHost),
-      listAhead: () => this.listAhead(),
+      listUpdateSources: () => this.listUpdateSources(),
       fetch,
       log,
       readNow,
@@ -95,16 +99,17 @@
     this.fetcher = createFactsFetcher({
       state,
       isStoreSilent: () => readStoreAgeMs() > STORE_SILENT_MS,
-      listAhead: () => this.listAhead(),
+      listUpdateSources: () => this.listUpdateSources(),
       fetch,
       log,
       readNow,
       random: Math.random,
     });
     state.onChange(({source, event}) => {
-      // A configuration that came from a peer is announced too, so that others
-      // can fetch it here.
-      if (source === 'store' || event === 'config_applied') this.scheduleNews();
+      // A configuration from a peer is announced too, so that further peers can
+      // fetch it from this gate.
+      if (source === 'store' || event === 'config_applied')
+        this.scheduleChangeHeartbeat();
       if (event === 'target_held') this.confirmRemovals();
     });
   }
@@ -114,24 +119,24 @@
     return formatOwner(this.options.host, this.options.incarnation);
   }
 
-  /** True once this gate knows what its peers know of an older copy. */
+  /** Whether the synchronization with peers at startup is done. */
   get isSynchronized(): boolean {
-    return this.sync.isDone;
+    return this.startupSync.isDone;
   }
 
-  /** Gates that share budgets, this one included. */
+  /** Counts the gates that share budgets, including this gate. */
   countGates(): number {
-    return this.table.countSharing();
+    return this.table.countBudgetMembers();
   }
 
-  /** Hosts of live gates, this one included. */
+  /** Lists the hosts of live gates, including this gate. */
   listGates(): readonly string[] {
     return [this.options.host, ...this.table.listAlive().map(({host}) => host)];
   }
 
   /**
-   * Age of the freshest confirmation that this gate's facts are current, in ms:
-   * by the store, or by a peer that knows nothing newer.
+   * Returns the age of the latest confirmation that the facts of this gate are
+   * current, in ms. The store confirms them, or a peer that knows none newer.
    */
   readFactsAgeMs(): number {
     const {readStoreAgeMs, state} = this.options;
@@ -158,24 +163,24 @@
     this.broadcastHeartbeats(true);
   }
 
-  /** Replaces the seeds. */
+  /** Replaces the seed hosts and contacts them. */
   setSeeds(seedHosts: readonly string[]): void {
     this.seedHosts = seedHosts;
     this.broadcastHeartbeats(true);
   }
 
-  /** Announces that this gate leaves, and stops. */
+  /** Announces to peers that this gate leaves, and closes the sockets. */
   async stop(): Promise<void> {
     if (this.isLeaving) return;
     this.isLeaving = true;
     this.broadcastHeartbeats();
     clearInterval(this.timer);
-    clearTimeout(this.newsTimer);
+    clearTimeout(this.changeTimer);
     this.server?.close();
     const {socket} = this;
     this.socket = undefined;
-    // Lets the last datagrams leave before the socket closes.
-    await sleep(LEAVE_MS);
+    // Lets the last datagrams be sent before the socket closes.
+    await sleep(LEAVE_FLUSH_MS);
     socket?.close();
   }
 
@@ -215,10 +220,10 @@
     const hosts = new Set([...this.seedHosts, ...this.table.listHosts()]);
     hosts.delete(this.options.host);
     for (const host of hosts)
-      this.sendHeartbeat(host, wantsReply || !this.table.isHeard(host));
+      this.sendHeartbeat(host, wantsReply || !this.table.isHeardFrom(host));
   }
 
-  /** @param isFull - Includes whole placements. */
+  /** @param isFull - Whether the heartbeat includes complete placements. */
   private sendHeartbeat(
     host: string,
     wantsReply: boolean,
@@ -236,10 +241,10 @@
       factsAgeMs: Math.round(readStoreAgeMs()),
       contactMs: Math.round(readContactMs()),
       peers: [...this.table.listHosts()],
-      open: own.map(({placement}) => readNumber(placement.key)),
+      open: own.map(({placement}) => parsePlacementNumber(placement.key)),
       begun: own
         .filter(({hasBegun}) => hasBegun)
-        .map(({placement}) => readNumber(placement.key)),
+        .map(({placement}) => parsePlacementNumber(placement.key)),
       placements: isFull
         ? own.map(({placement, hasBegun}) =>
             toWirePlacement(placement, hasBegun, now),
@@ -281,7 +286,7 @@
   private applyHeartbeat(heartbeat: Heartbeat): void {
     if (heartbeat.from === this.options.host) return;
     const now = this.options.readNow();
-    const peer = this.table.readPeer(heartbeat.from);
+    const peer = this.table.findOrAddPeer(heartbeat.from);
     if (peer.incarnation !== heartbeat.incarnation)
       this.applyRestart(peer, heartbeat);
     const isNew = this.table.recordHeartbeat(peer, heartbeat);
@@ -292,18 +297,18 @@
     if (isNew) this.options.log.info('peer_joined', {peer: peer.host});
     if (heartbeat.wantsReply || isNew)
       this.sendHeartbeat(peer.host, false, true);
-    if (this.isAhead(peer)) this.fetcher.schedule();
+    if (this.isUpdateSource(peer)) this.fetcher.schedule();
     this.confirmRemovals();
   }
 
   /**
-   * Confirms removals that a peer without an outage has seen. Peers that may
-   * hold targets themselves confirm nothing.
+   * Confirms removals of held targets through peers without an outage of the
+   * store. Peers that may hold targets themselves confirm none.
    */
   private confirmRemovals(): void {
     const {state} = this.options;
-    const since = state.outageAt - LAPSE_HOLD_MS;
-    state.confirmRemovals(this.table.findPositionInContact(since));
+    const since = state.outageStartedAt - HOLD_AFTER_OUTAGE_MS;
+    state.confirmRemovals(this.table.findPositionWithoutOutage(since));
   }
 
   private applyRestart(peer: Peer, heartbeat: Heartbeat): void {
@@ -334,7 +339,7 @@
     for (const number of heartbeat.begun) tracker.markBegun(toKey(number), now);
   }
 
-  /** Forgets a gate's placements; a later heartbeat restores them. */
+  /** Drops a peer and its placements; a later heartbeat restores them. */
   private dropPeer(peer: Peer, reason: 'left' | 'silent'): void {
     const {log} = this.options;
     if (peer.incarnation === undefined) return;
@@ -343,7 +348,7 @@
     log.info('peer_lost', {peer: peer.host, reason});
   }
 
-  private isAhead(peer: Peer): boolean {
+  private isUpdateSource(peer: Peer): boolean {
     const {state} = this.options;
     return (
       state.isBehind(peer.position) ||
@@ -351,25 +356,27 @@
     );
   }
 
-  private listAhead(): readonly string[] {
+  private listUpdateSources(): readonly string[] {
     if (this.isLeaving) return [];
-    const ahead = this.table
+    const sources = this.table
       .listAlive()
-      .filter(peer => peer.incarnation !== undefined && this.isAhead(peer));
-    return ahead.map(({host}) => host);
+      .filter(
+        peer => peer.incarnation !== undefined && this.isUpdateSource(peer),
+      );
+    return sources.map(({host}) => host);
   }
 
-  private scheduleNews(): void {
-    if (this.newsTimer !== undefined) return;
-    this.newsTimer = setTimeout(() => {
-      this.newsTimer = undefined;
+  private scheduleChangeHeartbeat(): void {
+    if (this.changeTimer !== undefined) return;
+    this.changeTimer = setTimeout(() => {
+      this.changeTimer = undefined;
       this.broadcastHeartbeats();
-    }, NEWS_MIN_MS);
+    }, CHANGE_HEARTBEAT_DELAY_MS);
   }
 }
 
-/** Number of a placement within its gate. */
-function readNumber(key: string): number {
+/** Parses the number of a placement within its gate from the placement key. */
+function parsePlacementNumber(key: string): number {
   return Number(key.slice(key.indexOf('#') + 1));
 }
 
--- a/packages/direct/src/peers/peer-table.ts
+++ b/packages/direct/src/peers/peer-table.ts
@@ -1,39 +1,47 @@
-/** The peers of a gate, by host. */
+/** Peers of a gate, by host. */
 import {NO_POSITION, isNewer, pickNewest} from '../fleet/fact-position.js';
 import type {FactPosition} from '../fleet/fact-position.js';
 import type {Heartbeat} from './messages.js';
 
 /**
- * Silence after which a peer's placements are dropped, in ms: three heartbeats.
+ * Time without a heartbeat after which a peer counts as lost and its placements
+ * are dropped, in ms; three heartbeat intervals and a margin.
  */
-const SILENT_MS = 3200;
+const PEER_TIMEOUT_MS = 3200;
 
-/** Silence after which a peer no longer counts for shared budgets, in ms. */
-const FORGET_BUDGET_MS = 30_000;
+/**
+ * Time without a heartbeat after which a peer no longer counts for shared
+ * budgets, in ms.
+ */
+const BUDGET_SHARE_TIMEOUT_MS = 30_000;
 
-/** Silence after which a peer is no longer contacted, in ms. */
-const FORGET_MS = 120_000;
+/** Time without a heartbeat after which a peer is no longer contacted, in ms. */
+const PEER_RETENTION_MS = 120_000;
 
-/** A peer as its heartbeats describe it. */
+/** State of a peer according to its heartbeats. */
 export interface Peer {
   readonly host: string;
-  /** Absent before its first heartbeat, and after it is lost. */
+  /** Absent before the first heartbeat of the peer and after its loss. */
   incarnation: string | undefined;
-  /** Last heartbeat on the monotonic clock; -Infinity before the first. */
-  heardAt: number;
-  /** When it became known. */
-  readonly knownAt: number;
+  /**
+   * Time of the last heartbeat on the monotonic clock, in ms; -Infinity before
+   * the first.
+   */
+  lastHeartbeatAt: number;
+  /** Time of the discovery of the peer on the monotonic clock, in ms. */
+  readonly discoveredAt: number;
   configVersion: number;
   position: FactPosition;
   factsAgeMs: number;
   /**
-   * Since when the store has answered it without an outage; Infinity in one.
+   * Time since which the store has answered the peer without an outage, on the
+   * monotonic clock, in ms; Infinity during an outage.
    */
-  contactAt: number;
+  contactSince: number;
 }
 
 /**
- * The peers of one gate.
+ * Keeps the state of the peers of one gate.
  *
  * @example
  * const table = new PeerTable('10.1.0.4', () => performance.now());
@@ -46,77 +54,80 @@
     private readonly readNow: () => number,
   ) {}
 
-  /** Hosts of all peers that are not forgotten. */
+  /** Lists the hosts of all known peers, live or not. */
   listHosts(): readonly string[] {
     return [...this.peers.keys()];
   }
 
-  /** Peers with a recent heartbeat. */
+  /** Lists peers with a recent heartbeat. */
   listAlive(): readonly Peer[] {
-    return this.listHeardWithin(SILENT_MS);
+    return this.listHeardFromWithin(PEER_TIMEOUT_MS);
   }
 
-  /** Number of gates that share budgets, this one included. */
-  countSharing(): number {
-    return 1 + this.listHeardWithin(FORGET_BUDGET_MS).length;
+  /** Counts the gates that share budgets, including this gate. */
+  countBudgetMembers(): number {
+    return 1 + this.listHeardFromWithin(BUDGET_SHARE_TIMEOUT_MS).length;
   }
 
-  /** True after the first heartbeat of a peer. */
-  isHeard(host: string): boolean {
-    return (this.peers.get(host)?.heardAt ?? -Infinity) >= 0;
+  /** Returns whether a peer has sent a heartbeat. */
+  isHeardFrom(host: string): boolean {
+    return (this.peers.get(host)?.lastHeartbeatAt ?? -Infinity) >= 0;
   }
 
-  /** Finds a peer, or adds it. */
-  readPeer(host: string): Peer {
+  /** Finds a peer by its host, or adds it. */
+  findOrAddPeer(host: string): Peer {
     const known = this.peers.get(host);
     if (known !== undefined) return known;
     const peer: Peer = {
       host,
       incarnation: undefined,
-      heardAt: -Infinity,
-      knownAt: this.readNow(),
+      lastHeartbeatAt: -Infinity,
+      discoveredAt: this.readNow(),
       configVersion: 0,
       position: NO_POSITION,
       factsAgeMs: Infinity,
-      contactAt: Infinity,
+      contactSince: Infinity,
     };
     if (host !== this.ownHost) this.peers.set(host, peer);
     return peer;
   }
 
-  /** Records a heartbeat; returns whether it is the peer's first. */
+  /** Records a heartbeat; returns whether it is the first one of the peer. */
   recordHeartbeat(peer: Peer, heartbeat: Heartbeat): boolean {
-    const isFirst = peer.heardAt === -Infinity;
-    peer.heardAt = this.readNow();
+    const isFirst = peer.lastHeartbeatAt === -Infinity;
+    peer.lastHeartbeatAt = this.readNow();
     peer.configVersion = heartbeat.configVersion;
     const {era, revision} = heartbeat;
     peer.position = {era, revision};
     peer.factsAgeMs = heartbeat.factsAgeMs;
-    peer.contactAt =
-      heartbeat.contactMs > 0 ? peer.heardAt - heartbeat.contactMs : Infinity;
-    for (const host of heartbeat.peers) this.readPeer(host);
+    peer.contactSince =
+      heartbeat.contactMs > 0
+        ? peer.lastHeartbeatAt - heartbeat.contactMs
+        : Infinity;
+    for (const host of heartbeat.peers) this.findOrAddPeer(host);
     return isFirst;
   }
 
   /**
-   * Lists silent peers that have not been dropped yet, and forgets those that
-   * have been silent for long.
+   * Lists peers that have timed out but are not dropped yet, and removes peers
+   * that are no longer contacted.
    */
   expireSilent(): readonly Peer[] {
     const now = this.readNow();
     const silent: Peer[] = [];
     for (const peer of this.peers.values()) {
-      const silentMs = now - Math.max(peer.heardAt, peer.knownAt);
-      if (silentMs > SILENT_MS && peer.incarnation !== undefined)
+      const silentMs = now - Math.max(peer.lastHeartbeatAt, peer.discoveredAt);
+      if (silentMs > PEER_TIMEOUT_MS && peer.incarnation !== undefined)
         silent.push(peer);
-      if (silentMs > FORGET_MS) this.peers.delete(peer.host);
+      if (silentMs > PEER_RETENTION_MS) this.peers.delete(peer.host);
     }
     return silent;
   }
 
   /**
-   * Age of the freshest confirmation that facts at `position` are current, in
-   * ms, by a peer of the same era that knows nothing newer.
+   * Returns the age of the latest confirmation that facts at `position` are
+   * current, in ms. A peer confirms them if it is in the same era and knows no
+   * newer facts. The result is Infinity without such a peer.
    */
   readConfirmedAgeMs(position: FactPosition): number {
     let age = Infinity;
@@ -125,24 +136,29 @@
         peer.position.era === position.era &&
         !isNewer(peer.position, position)
       )
-        age = Math.min(age, this.readNow() - peer.heardAt + peer.factsAgeMs);
+        age = Math.min(
+          age,
+          this.readNow() - peer.lastHeartbeatAt + peer.factsAgeMs,
+        );
     return age;
   }
 
   /**
-   * Newest position of a live peer that the store has answered since before
-   * `since`.
+   * Returns the newest position among the live peers that have had no outage of
+   * the store since `since`.
    */
-  findPositionInContact(since: number): FactPosition {
+  findPositionWithoutOutage(since: number): FactPosition {
     return pickNewest(
       this.listAlive()
-        .filter(({contactAt}) => contactAt <= since)
+        .filter(({contactSince}) => contactSince <= since)
         .map(({position}) => position),
     );
   }
 
-  private listHeardWithin(ms: number): readonly Peer[] {
+  private listHeardFromWithin(ms: number): readonly Peer[] {
     const since = this.readNow() - ms;
-    return [...this.peers.values()].filter(peer => peer.heardAt > since);
+    return [...this.peers.values()].filter(
+      peer => peer.lastHeartbeatAt > since,
+    );
   }
 }
--- a/packages/direct/src/peers/shared-facts.test.ts
+++ b/packages/direct/src/peers/shared-facts.test.ts
@@ -8,9 +8,9 @@
 import {buildConfig} from '../test/gate-world.js';
 import {decodeSharedFacts, toKnownFacts} from './shared-facts.js';
 
-const NOTHING = {configVersion: 0, position: NO_POSITION};
+const NO_FACTS_KNOWN = {configVersion: 0, position: NO_POSITION};
 
-/** Facts as a peer receives them. */
+/** Returns facts in the form in which a peer receives them. */
 function describeOnWire(): unknown {
   const state = createFleetState(() => 0);
   state.applySnapshot({
@@ -19,10 +19,10 @@
     targets: [buildTarget('a', 3), buildTarget('b', 9)],
     malformed: [],
   });
-  return JSON.parse(JSON.stringify(state.describeShared(NOTHING)));
+  return JSON.parse(JSON.stringify(state.describeShared(NO_FACTS_KNOWN)));
 }
 
-/** Paths of all values in `value`. */
+/** Lists the paths of all leaf values in `value`. */
 function listPaths(value: unknown): ReadonlyArray<readonly string[]> {
   if (typeof value !== 'object' || value === null) return [[]];
   return Object.entries(value).flatMap(([key, inner]) =>
@@ -39,17 +39,17 @@
   return facts;
 }
 
-describe('facts that another gate has handed over', () => {
-  it('are what that gate knows', () => {
+describe('facts shared between gates', () => {
+  it('are unchanged by encoding, decoding and applying them', () => {
     const state = createFleetState(() => 0);
     state.applyShared(decodeSharedFacts(describeOnWire()));
-    expect(JSON.parse(JSON.stringify(state.describeShared(NOTHING)))).toEqual(
-      describeOnWire(),
-    );
+    expect(
+      JSON.parse(JSON.stringify(state.describeShared(NO_FACTS_KNOWN))),
+    ).toEqual(describeOnWire());
   });
 
-  it('are not used when any figure was lost on the way', () => {
-    // Guards against non-finite figures, which JSON turns into null.
+  it('are rejected with DecodeError when any value is replaced by null, an array or an object', () => {
+    // Guards against non-finite numbers, which JSON turns into null.
     fc.assert(
       fc.property(
         fc.constantFrom(...listPaths(describeOnWire())),
@@ -64,21 +64,24 @@
     );
   });
 
-  it('are asked for whole by a gate that says nothing of its own', () => {
+  it('are requested in full by a peer that sends no or malformed versions', () => {
     // Guards against an error while gates of two versions run side by side.
-    expect(toKnownFacts(undefined)).toEqual(NOTHING);
-    expect(toKnownFacts({})).toEqual(NOTHING);
-    expect(toKnownFacts({configVersion: 'x'})).toEqual(NOTHING);
+    expect(toKnownFacts(undefined)).toEqual(NO_FACTS_KNOWN);
+    expect(toKnownFacts({})).toEqual(NO_FACTS_KNOWN);
+    expect(toKnownFacts({configVersion: 'x'})).toEqual(NO_FACTS_KNOWN);
   });
 
-  it('leave out what the peer has', () => {
+  it('omit the configuration and the targets that the peer already knows', () => {
     const state = createFleetState(() => 0);
     state.applyShared(decodeSharedFacts(describeOnWire()));
-    const news = state.describeShared({
+    const newerFacts = state.describeShared({
       configVersion: 7,
       position: buildPosition(9),
     });
-    expect([news.config, news.targets.length]).toEqual([undefined, 0]);
+    expect([newerFacts.config, newerFacts.targets.length]).toEqual([
+      undefined,
+      0,
+    ]);
     const targets = state.describeShared({
       configVersion: 7,
       position: buildPosition(3),
@@ -86,20 +89,20 @@
     expect([targets.config, targets.targets.length]).toEqual([undefined, 2]);
   });
 
-  it('keep the targets of a gate that is ahead of the other by a config', () => {
-    // Guards against an answer without targets that removes all of them.
-    const ahead = createFleetState(() => 0);
-    ahead.applyShared(decodeSharedFacts(describeOnWire()));
-    const behind = createFleetState(() => 0);
-    behind.applySnapshot({
+  it('remove no targets of a receiver that lacks only the configuration', () => {
+    // Guards against an answer without targets that removes all known targets.
+    const newerState = createFleetState(() => 0);
+    newerState.applyShared(decodeSharedFacts(describeOnWire()));
+    const ownState = createFleetState(() => 0);
+    ownState.applySnapshot({
       position: buildPosition(12),
       config: buildConfig(5),
       targets: [buildTarget('c', 12)],
       malformed: [],
     });
-    const known = {configVersion: 5, position: behind.position};
-    behind.applyShared(ahead.describeShared(known));
-    expect(behind.config?.version).toEqual(7);
-    expect(behind.targetCount).toEqual(1);
+    const known = {configVersion: 5, position: ownState.position};
+    ownState.applyShared(newerState.describeShared(known));
+    expect(ownState.config?.version).toEqual(7);
+    expect(ownState.targetCount).toEqual(1);
   });
 });
--- a/packages/direct/src/peers/startup-sync.test.ts
+++ b/packages/direct/src/peers/startup-sync.test.ts
@@ -17,11 +17,14 @@
   doubts: [],
 };
 
-/** A gate that starts in era `era`, with answers of peers by host. */
-function createWorld(
+/**
+ * Creates a gate that starts with a store in era `era`. Peers give `answers` by
+ * host to the first request, and `laterAnswers` to further ones.
+ */
+function createHarness(
   era: number,
   answers: Readonly<Record<string, SharedFacts | Error | undefined>>,
-  later: Readonly<Record<string, SharedFacts>> = {},
+  laterAnswers: Readonly<Record<string, SharedFacts>> = {},
 ) {
   let now = 0;
   const asked: string[] = [];
@@ -29,12 +32,14 @@
   const sync = new StartupSync({
     state,
     listPeers: () => Object.keys(answers),
-    listAhead: () =>
+    listUpdateSources: () =>
       (state.config?.version ?? 0) < 7 ? Object.keys(answers) : [],
     fetch: host => {
       const isFirst = !asked.includes(host);
       asked.push(host);
-      const facts = isFirst ? answers[host] : (later[host] ?? answers[host]);
+      const facts = isFirst
+        ? answers[host]
+        : (laterAnswers[host] ?? answers[host]);
       if (facts === undefined) return Promise.reject(new Error('gone'));
       return facts instanceof Error
         ? Promise.reject(facts)
@@ -64,9 +69,9 @@
   return {state, sync, asked, readStore, readWaitedMs: () => now};
 }
 
-describe('synchronization of a gate that starts', () => {
-  it('is not needed while the store is in its first era', async () => {
-    const {sync, asked, readStore} = createWorld(0, {a: PEER_FACTS});
+describe('startup synchronization', () => {
+  it('is done without asking a peer when the store is in its first era', async () => {
+    const {sync, asked, readStore} = createHarness(0, {a: PEER_FACTS});
     expect(sync.isDone).toEqual(false);
     await readStore();
     expect(sync.isDone).toEqual(true);
@@ -74,8 +79,9 @@
   });
 
   it('merges the facts of the first peer that answers', async () => {
-    // Guards against a gate that is ready with an older copy's configuration.
-    const {state, sync, asked, readStore} = createWorld(2, {
+    // Guards against a gate that becomes ready with the configuration of an
+    // older copy of the store.
+    const {state, sync, asked, readStore} = createHarness(2, {
       gone: undefined,
       a: PEER_FACTS,
     });
@@ -85,10 +91,10 @@
     expect(state.config?.version).toEqual(7);
   });
 
-  it('goes on while a peer has a configuration that it did not send', async () => {
-    // Guards against being ready with the copy's configuration because the peer
-    // was sending its own to others.
-    const {state, sync, readStore} = createWorld(
+  it('asks again when a peer has a newer configuration but omitted it', async () => {
+    // Guards against a gate that becomes ready with the configuration of an
+    // older copy because all slots of the peer were taken.
+    const {state, sync, readStore} = createHarness(
       2,
       {a: {...PEER_FACTS, config: undefined}},
       {a: PEER_FACTS},
@@ -98,9 +104,10 @@
     expect(state.config?.version).toEqual(7);
   });
 
-  it('asks a busy peer again', async () => {
-    // Guards against a start without facts because the only peer was busy.
-    const {state, asked, readStore} = createWorld(
+  it('retries a peer that answers that it is busy', async () => {
+    // Guards against a start without facts from peers because the only peer was
+    // busy.
+    const {state, asked, readStore} = createHarness(
       2,
       {a: new FactsBusyError('busy')},
       {a: PEER_FACTS},
@@ -110,9 +117,9 @@
     expect(state.config?.version).toEqual(7);
   });
 
-  it('ends without a peer', async () => {
-    // Guards against a single gate that is never ready.
-    const {sync, readStore, readWaitedMs} = createWorld(2, {});
+  it('is done after 1,500 ms without any peer', async () => {
+    // Guards against a single gate that never becomes ready.
+    const {sync, readStore, readWaitedMs} = createHarness(2, {});
     await readStore();
     expect(sync.isDone).toEqual(true);
     expect(readWaitedMs()).toEqual(1500);
--- a/packages/direct/src/peers/startup-sync.ts
+++ b/packages/direct/src/peers/startup-sync.ts
@@ -1,10 +1,11 @@
 /**
- * Keeps a gate that has just started from being ready with the facts of an
- * older copy of the store: its peers know what the copy lacks or revives.
+ * Synchronizes a gate that has just started with its peers before it becomes
+ * ready. If the store was restored from an older copy, the peers know which
+ * facts the copy lacks and which of its entries are outdated.
  */
 import {FactsBusyError} from '../errors.js';
 import {NO_POSITION} from '../fleet/fact-position.js';
-import {waitIdly} from './wait-idly.js';
+import {waitUnref} from './wait-unref.js';
 import type {
   FactVersions,
   FleetState,
@@ -13,81 +14,95 @@
 import type {DecisionLog} from '../observe/decision-log.js';
 
 /**
- * Longest wait for a peer, in ms: above one heartbeat, by which peers find a
- * gate whose seeds are down.
+ * Longest wait for a peer, in ms; above one heartbeat interval, because peers
+ * reach a gate whose seeds are down by their next heartbeat.
  */
-const SYNC_MAX_MS = 1500;
+const SYNC_TIMEOUT_MS = 1500;
 
-/** Pause between two requests, in ms. */
-const RETRY_MS = 50;
+/** Delay between two requests, in ms. */
+const RETRY_DELAY_MS = 50;
 
-/** Dependencies of the synchronization. */
+/** Dependencies of the synchronization at startup. */
 export interface StartupSyncOptions {
   readonly state: FleetState;
-  /** Hosts of live peers. */
+  /** Lists the hosts of live peers. */
   readonly listPeers: () => readonly string[];
-  /** Hosts of live peers with newer facts. */
-  readonly listAhead: () => readonly string[];
+  /** Lists the hosts of live peers that have newer facts than this gate. */
+  readonly listUpdateSources: () => readonly string[];
   readonly fetch: (host: string, known: FactVersions) => Promise<SharedFacts>;
   readonly log: DecisionLog;
   readonly readNow: () => number;
-  /** Waits; injected by tests. */
+  /**
+   * Waits for a time in ms; tests replace it.
+   *
+   * @default waitUnref
+   */
   readonly wait?: (ms: number) => Promise<void>;
 }
 
 /**
- * The synchronization of one gate, at its start only.
+ * Synchronizes one gate with its peers, once, at startup. A store in era 0 has
+ * never been restored, so the gate needs no synchronization.
  *
  * @example
  * const sync = new StartupSync(options);
- * sync.isDone; // true while the store is in its first era
+ * sync.isDone; // false until the gate is synchronized
  */
 export class StartupSync {
-  private isOver = false;
-  private isUnderWay = false;
+  private isFinished = false;
+  private isRunning = false;
 
   constructor(private readonly options: StartupSyncOptions) {
     options.state.onChange(() => this.handleChange());
   }
 
-  /** True once the gate may be ready. */
+  /** Whether the gate may become ready. */
   get isDone(): boolean {
     const {state} = this.options;
-    return this.isOver || (state.isServing && state.position.era === 0);
+    return this.isFinished || (state.isServing && state.position.era === 0);
   }
 
   private handleChange(): void {
     const {state} = this.options;
-    if (this.isOver || this.isUnderWay || !state.isServing) return;
+    if (this.isFinished || this.isRunning || !state.isServing) return;
     if (state.position.era === 0) return;
-    this.isUnderWay = true;
+    this.isRunning = true;
     void this.run();
   }
 
   private async run(): Promise<void> {
-    const {listAhead, listPeers, log, readNow, wait = waitIdly} = this.options;
-    const giveUpAt = readNow() + SYNC_MAX_MS;
+    const {
+      listUpdateSources,
+      listPeers,
+      log,
+      readNow,
+      wait = waitUnref,
+    } = this.options;
+    const giveUpAt = readNow() + SYNC_TIMEOUT_MS;
     const failed = new Set<string>();
     while (readNow() < giveUpAt) {
-      // A peer that is ahead may have more than it could send at once.
-      const host = [...listAhead(), ...listPeers()].find(
+      // Peers with newer facts come first; they may have answered only in part.
+      const host = [...listUpdateSources(), ...listPeers()].find(
         peer => !failed.has(peer),
       );
       const isDone = host !== undefined && (await this.trySync(host, failed));
-      if (isDone && listAhead().length === 0) return this.finish(host);
-      if (host === undefined || !failed.has(host)) await wait(RETRY_MS);
+      if (isDone && listUpdateSources().length === 0) return this.finish(host);
+      if (host === undefined || !failed.has(host)) await wait(RETRY_DELAY_MS);
     }
-    this.isOver = true;
+    this.isFinished = true;
     log.warn('start_unconfirmed', {peers: failed.size});
   }
 
   private finish(host: string): void {
     const {state, log} = this.options;
-    this.isOver = true;
+    this.isFinished = true;
     log.info('start_confirmed', {peer: host, ...state.position});
   }
 
-  /** Returns whether the peer sent its facts; a busy one may be asked again. */
+  /**
+   * Merges the facts of a peer; returns whether the peer sent them. A busy peer
+   * can be asked again.
+   */
   private async trySync(host: string, failed: Set<string>): Promise<boolean> {
     const {state, fetch, log} = this.options;
     const {configVersion} = state.versions;
