--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -1,10 +1,10 @@
 /**
- * Wall-clock stamps with sub-millisecond resolution, shared by every process
- * so that the merged time line orders events from different processes.
+ * Wall-clock timestamps with sub-millisecond resolution. Every process uses
+ * them, so that log events of different processes can be merged in time order.
  */
 
 /**
- * Returns milliseconds since the Unix epoch, with a fractional part.
+ * Returns the wall-clock time in ms since the Unix epoch, with a fractional part.
  *
  * @example
  * const startedAt = readClockMs();
@@ -14,7 +14,7 @@
 }
 
 /**
- * Resolves after `ms` milliseconds; used for backoff and stand-in delays.
+ * Resolves after `ms` milliseconds.
  *
  * @example
  * await waitMs(50);
--- a/packages/core/src/config/delta.test.ts
+++ b/packages/core/src/config/delta.test.ts
@@ -5,7 +5,7 @@
 import {ConfigDeltaSchema, applyDelta, buildDelta} from './delta.js';
 import {createConfigWatcher} from './watch.js';
 
-// One seed, so that the suite gives the same verdict every time.
+// Fixed seed, so that every run checks the same cases.
 fc.configureGlobal({seed: 20261202});
 
 const items = fc.uniqueArray(
@@ -32,8 +32,8 @@
 const listById = (list: ReadonlyArray<{readonly id: string}>) =>
   [...list].sort((a, b) => a.id.localeCompare(b.id));
 
-describe('configuration deltas', () => {
-  it('bring any record to any other (property)', () => {
+describe('configuration delta', () => {
+  it('turns any record into any other one when applied to its base (property)', () => {
     fc.assert(
       fc.property(record(1), record(2), (from, to) => {
         const delta = ConfigDeltaSchema.parse(buildDelta(from, to));
@@ -51,8 +51,8 @@
     );
   });
 
-  it('are refused by a reader that does not hold their base', () => {
-    // Guards against a change applied to the wrong version.
+  it('is rejected by a watcher that holds a version other than its base', () => {
+    // Guards against applying a delta to the wrong version of a record.
     const watcher = createConfigWatcher({
       url: 'http://127.0.0.1:1',
       counters: createCounters(),
--- a/packages/core/src/config/delta.ts
+++ b/packages/core/src/config/delta.ts
@@ -1,27 +1,28 @@
 /**
- * Changes between two configuration records. A watch that names the version it
- * holds is answered with the changed items only, as a whole record is large.
+ * Deltas between two configuration records. A watch request names the version
+ * that the client holds, and the response contains only the changed items,
+ * because a complete record is large.
  */
 import {z} from 'zod';
 
-/** Sections of a record whose items have an `id`. */
+/** Sections of a record whose items are identified by `id`. */
 export const DELTA_SECTIONS = ['accounts', 'pools'] as const;
 
 const SectionChangesSchema = z.object({
-  /** Items that are new or differ, whole. */
+  /** Complete items that are added or changed. */
   put: z.array(z.looseObject({id: z.string()})).default([]),
-  /** Ids of items that are gone. */
+  /** Ids of items that are removed. */
   remove: z.array(z.string()).default([]),
 });
 
 export const ConfigDeltaSchema = z.object({
-  /** Version that the changes apply to. */
+  /** Version of the record that the delta applies to. */
   base: z.number().int().positive(),
   version: z.number().int().positive(),
   schemaVersion: z.number().int().positive(),
   accounts: SectionChangesSchema.prefault({}),
   pools: SectionChangesSchema.prefault({}),
-  /** All rules, when any rule changed. */
+  /** All rules, when any rule has changed; absent otherwise. */
   rules: z.array(z.unknown()).optional(),
 });
 
@@ -36,7 +37,7 @@
 }
 
 /**
- * Builds the delta from `from` to `to`.
+ * Builds the delta that turns the record `from` into the record `to`.
  *
  * @example
  * buildDelta({version: 1, ...}, {version: 2, ...}).accounts.put; // changed accounts
@@ -67,9 +68,10 @@
 }
 
 /**
- * Applies a delta to the record it names as its base.
+ * Applies a delta to a record.
  *
- * @returns The new raw record, or undefined when `record` is not the base.
+ * @returns The new raw record, or undefined when `record` does not have the base
+ *   version of the delta.
  * @example
  * const next = applyDelta(current, delta);
  */
--- a/packages/core/src/config/record.test.ts
+++ b/packages/core/src/config/record.test.ts
@@ -24,18 +24,24 @@
 const [chat] = record.pools;
 
 describe('configuration record', () => {
-  it('is refused when two accounts hold one key, without showing the key', () => {
-    // Guards against a copied key that lets one account act as another.
-    const copied = {...record, accounts: [care, {...staff, keys: care.keys}]};
-    expect(() => resolveConfigRecord(copied)).toThrow(
+  it('is rejected when two accounts share an API key, without revealing the key', () => {
+    // Guards against a copied API key that authenticates one account as another.
+    const recordWithSharedKey = {
+      ...record,
+      accounts: [care, {...staff, keys: care.keys}],
+    };
+    expect(() => resolveConfigRecord(recordWithSharedKey)).toThrow(
       ConfigRecordError,
-      'accounts: a key of staff is held twice',
+      'accounts: a key of staff is listed twice',
+    );
+    expect(() => resolveConfigRecord(recordWithSharedKey)).not.toThrow(
+      /care-key-1/,
     );
-    expect(() => resolveConfigRecord(copied)).not.toThrow(/care-key-1/);
   });
 
-  it('is refused when a rule names a pool that is not there', () => {
-    // Guards against a misspelt pool that leaves orders repeatable.
+  it('is rejected when a rule names an unknown pool', () => {
+    // Guards against a misspelled pool in a rule, which leaves the requests of the
+    // intended pool repeatable.
     const rules = [{pool: 'ordres', notRepeatable: true}];
     expect(() => resolveConfigRecord({...record, rules})).toThrow(
       ConfigRecordError,
@@ -43,7 +49,7 @@
     );
   });
 
-  it('is refused when a pool lists a target twice', () => {
+  it('is rejected when a pool lists a target twice', () => {
     const pools = [{...chat, targets: [...chat.targets, ...chat.targets]}];
     expect(() => resolveConfigRecord({...record, pools})).toThrow(
       ConfigRecordError,
--- a/packages/core/src/config/record.ts
+++ b/packages/core/src/config/record.ts
@@ -1,36 +1,39 @@
 /**
  * The configuration record that operators publish to the platform's
- * configuration service: client accounts, model pools and the rules for
- * requests that may never be repeated. Records carry `schemaVersion` so that
- * old and new records can live side by side during a change.
+ * configuration service: client accounts, pools of targets, and rules for
+ * requests that must not be repeated. The field `schemaVersion` lets records of an
+ * old and a new schema coexist during a migration.
  */
 import {z} from 'zod';
 import {ConfigRecordError} from '../errors.js';
 import {describeIssues} from '../settings-text.js';
 
-/** Schema versions this release can read. */
+/** Schema versions that this release can read. */
 export const SUPPORTED_SCHEMA_VERSIONS: readonly number[] = [1];
 
-/** A `host:port` address of an agent's json-rpc listener. */
+/** Address of an agent's JSON-RPC listener, as `host:port`. */
 const AddressSchema = z
   .string()
   .regex(/^[^:\s]+:\d{1,5}$/, 'expected host:port');
 
 export const AccountSchema = z.object({
   id: z.string().min(1),
-  /** API keys that authenticate this client account. */
+  /** API keys of this client account. */
   keys: z.array(z.string().min(8)).min(1),
-  /** Model pools or plain services this account may use. */
+  /** Ids of the pools that this account may use. */
   pools: z.array(z.string().min(1)).min(1),
-  /** Most requests of this account in flight at one gate. */
+  /** Limit on requests of this account in flight at one gate. */
   maxConcurrent: z.number().int().positive().default(64),
-  /** Sustained requests a second at one gate. */
+  /** Limit on the sustained request rate at one gate, in requests per second. */
   ratePerSecond: z.number().positive().default(50),
-  /** Deadline applied when the caller gives none, in ms. */
+  /** Default deadline of requests that set none, in ms. */
   deadlineMs: z.number().int().positive().default(60_000),
 });
 
-/** The state that operators want an engine in; its agent orders what differs. */
+/**
+ * Desired state of an engine. Its agent sends the engine orders for settings that
+ * differ.
+ */
 export const EngineStateSchema = z.object({
   model: z.string().min(1).optional(),
   adapters: z.array(z.string().min(1)).optional(),
@@ -47,14 +50,14 @@
 export const PoolSchema = z.object({
   id: z.string().min(1),
   kind: z.enum(['engine', 'plain']),
-  /** True when the pool's engines can go on with an interrupted stream. */
+  /** True when the engines of this pool can resume an interrupted stream. */
   resumable: z.boolean().default(true),
   targets: z.array(TargetSchema),
 });
 
 export const RuleSchema = z.object({
   pool: z.string().min(1),
-  /** Operation of a plain service; absent means every request of the pool. */
+  /** Operation of a plain service; when absent, the rule covers the whole pool. */
   op: z.string().min(1).optional(),
   notRepeatable: z.literal(true),
 });
@@ -79,8 +82,8 @@
 export type Rule = z.output<typeof RuleSchema>;
 export type ConfigRecord = Readonly<z.output<typeof ConfigRecordSchema>>;
 
-/** Lists values that occur more than once. */
-function listDoubles(values: readonly string[]): readonly string[] {
+/** Returns values that occur more than once. */
+function listDuplicates(values: readonly string[]): readonly string[] {
   const seen = new Set<string>();
   return values.filter(value => seen.size === seen.add(value).size);
 }
@@ -92,45 +95,46 @@
 }
 
 /**
- * Lists conflicts between fields: a key or target that occurs twice, or a pool
- * that does not exist.
+ * Lists conflicts between fields: duplicate accounts, API keys, pools and
+ * targets, and references to unknown pools.
  */
 function listConflicts(record: RecordParts): readonly string[] {
   const {accounts, pools, rules} = record;
   const poolIds = pools.map(pool => pool.id);
-  const known = new Set(poolIds);
+  const knownPoolIds = new Set(poolIds);
   const keyOwners = accounts.flatMap(({id, keys}) => keys.map(() => id));
   const allKeys = accounts.flatMap(account => account.keys);
   return [
-    ...listDoubles(accounts.map(account => account.id)).map(
+    ...listDuplicates(accounts.map(account => account.id)).map(
       id => `accounts: ${id} is listed twice`,
     ),
-    // Keys are secrets, so the message names the account.
-    ...listDoubles(allKeys).map(
+    // API keys are secrets, so the message names the account instead of the key.
+    ...listDuplicates(allKeys).map(
       key =>
-        `accounts: a key of ${keyOwners[allKeys.lastIndexOf(key)]} is held twice`,
+        `accounts: a key of ${keyOwners[allKeys.lastIndexOf(key)]} is listed twice`,
     ),
-    ...listDoubles(poolIds).map(id => `pools: ${id} is listed twice`),
+    ...listDuplicates(poolIds).map(id => `pools: ${id} is listed twice`),
     ...pools.flatMap(pool =>
-      listDoubles(pool.targets.map(target => target.id)).map(
+      listDuplicates(pool.targets.map(target => target.id)).map(
         id => `pools.${pool.id}: target ${id} is listed twice`,
       ),
     ),
     ...accounts.flatMap(account =>
       account.pools
-        .filter(pool => !known.has(pool))
+        .filter(pool => !knownPoolIds.has(pool))
         .map(pool => `accounts.${account.id}: no pool ${pool}`),
     ),
     ...rules
-      .filter(rule => !known.has(rule.pool))
+      .filter(rule => !knownPoolIds.has(rule.pool))
       .map(rule => `rules: no pool ${rule.pool}`),
   ];
 }
 
 /**
- * Validates a record read from the configuration service.
+ * Validates a raw configuration record and fills in defaults.
  *
- * @throws ConfigRecordError when the schema version is unknown or a field is bad.
+ * @throws ConfigRecordError when the schema version is not supported or a field is
+ *   invalid.
  * @example
  * const record = resolveConfigRecord(await response.body.json());
  */
@@ -157,10 +161,11 @@
 }
 
 /**
- * Tells whether a request to `pool` (and `op`, for plain services) may run at most once.
+ * Returns whether a request to `pool` (and `op`, for plain services) may run at
+ * most once.
  *
  * @example
- * isNotRepeatable(record, 'orders', 'place-order'); // true when a rule says so
+ * isNotRepeatable(record, 'orders', 'place-order'); // true when a rule covers it
  */
 export function isNotRepeatable(
   record: ConfigRecord,
--- a/packages/core/src/config/watch.test.ts
+++ b/packages/core/src/config/watch.test.ts
@@ -4,10 +4,10 @@
 import {createConfigWatcher} from './watch.js';
 import {createCounters} from '../metrics.js';
 
-// One seed, so that the suite gives the same verdict every time.
+// Fixed seed, so that every run checks the same cases.
 fc.configureGlobal({seed: 20261202});
 
-const recordOf = (version: number, schemaVersion = 1) => ({
+const buildRecord = (version: number, schemaVersion = 1) => ({
   version,
   schemaVersion,
   accounts: [],
@@ -16,27 +16,28 @@
 });
 
 describe('configuration watcher', () => {
-  it('ignores a stale record served after a newer one, so configuration never reverts', () => {
-    // Guards against a lagging replica that reverts the configuration.
+  it('ignores a record that is older than the current one', () => {
+    // Guards against a configuration that reverts when a stale replica of the
+    // service returns an older record.
     const watcher = createConfigWatcher({
       url: 'http://127.0.0.1:1',
       counters: createCounters(),
     });
-    expect(watcher.offer(recordOf(2))).toEqual(true);
-    expect(watcher.offer(recordOf(1))).toEqual(false);
+    expect(watcher.offer(buildRecord(2))).toEqual(true);
+    expect(watcher.offer(buildRecord(1))).toEqual(false);
     expect(watcher.current?.version).toEqual(2);
   });
 
-  it('keeps the last good record when a record of an unknown schema version arrives', () => {
+  it('keeps the current record when it is offered a record of an unsupported schema version', () => {
     const counters = createCounters();
     const watcher = createConfigWatcher({url: 'http://127.0.0.1:1', counters});
-    watcher.offer(recordOf(3));
-    expect(watcher.offer(recordOf(4, 99))).toEqual(false);
+    watcher.offer(buildRecord(3));
+    expect(watcher.offer(buildRecord(4, 99))).toEqual(false);
     expect(watcher.current?.version).toEqual(3);
     expect(counters.read()['config.rejected']).toEqual(1);
   });
 
-  it('only ever moves forward over any order of offers (property)', () => {
+  it('never lowers its version and ends at the highest one, for any order of offered records (property)', () => {
     fc.assert(
       fc.property(
         fc.array(fc.integer({min: 1, max: 50}), {maxLength: 80}),
@@ -47,7 +48,7 @@
           });
           let seen = 0;
           for (const version of versions) {
-            watcher.offer(recordOf(version));
+            watcher.offer(buildRecord(version));
             const current = watcher.current?.version ?? 0;
             expect(current).toBeGreaterThanOrEqual(seen);
             seen = current;
--- a/packages/core/src/config/watch.ts
+++ b/packages/core/src/config/watch.ts
@@ -1,8 +1,8 @@
 /**
- * Watches the configuration service with long polls and keeps the newest
- * accepted record in memory. Versions only move forward: a stale or older
- * record is ignored, and the last good record is kept while the service is
- * down, so an accepted configuration never reverts.
+ * Watches the configuration service by long polling and keeps the newest accepted
+ * record in memory. The version only increases: records that are not newer are
+ * ignored, and the last accepted record stays in use while the service is
+ * unavailable, so an accepted configuration never reverts.
  */
 import {request} from 'undici';
 import {waitMs} from '../clock.js';
@@ -16,43 +16,44 @@
 export interface ConfigWatcherOptions {
   /** Base URL of the configuration service, such as `http://127.0.0.1:7000`. */
   readonly url: string;
-  /** Counters to add `config.*` figures to. */
+  /** Receives the `config.*` counters. */
   readonly counters: Counters;
   /**
-   * How long one watch call waits for a change, in ms.
+   * Longest time that a long poll waits for a change, in ms.
    * @default 25000
    */
   readonly waitMs?: number;
   /**
-   * First pause after a failed or stale read, in ms; doubles up to `backoffMaxMs`.
+   * Upper bound of the first backoff delay after a failed or ignored read, in ms;
+   * doubles with each further one, up to `backoffMaxMs`.
    * @default 100
    */
   readonly backoffMinMs?: number;
   /**
-   * Longest pause between failed reads, in ms: half the time in which a change
-   * must be in force.
+   * Longest backoff delay, in ms: half the time within which a change must be in
+   * force.
    *
    * @default 4000
    */
   readonly backoffMaxMs?: number;
   /**
-   * Sections of the record to read; an agent needs no client accounts.
+   * Sections of the record to read; agents, for example, need no client accounts.
    * @default every section
    */
   readonly sections?: readonly string[];
 }
 
-/** Listener called with each newly accepted record. */
+/** Listener that is called with each accepted record. */
 export type ConfigListener = (record: ConfigRecord) => void;
 
-/** How one read of the service ended. */
+/** Result of one read of the configuration service. */
 type ReadResult = 'accepted' | 'unchanged' | 'ignored' | 'failed';
 
-/** Slack on top of the service's own wait before a read counts as lost, in ms. */
-const READ_SLACK_MS = 5000;
+/** Added to the wait time of a long poll to get the read timeout, in ms. */
+const READ_TIMEOUT_MARGIN_MS = 5000;
 
 /**
- * A task that owns the watch connection and the current record.
+ * Long-running task that watches the service and holds the current record.
  *
  * @example
  * const watcher = createConfigWatcher({url, counters});
@@ -68,7 +69,7 @@
 
   constructor(private readonly options: ConfigWatcherOptions) {}
 
-  /** The newest accepted record, or undefined before the first one. */
+  /** The newest accepted record; undefined before the first one. */
   get current(): ConfigRecord | undefined {
     return this.record;
   }
@@ -78,28 +79,28 @@
     return this.record?.version ?? 0;
   }
 
-  /** Registers a listener for accepted records. */
+  /** Registers a listener that is called with each accepted record. */
   onChange(listener: ConfigListener): void {
     this.listeners.push(listener);
   }
 
-  /** Starts the watch loop; it runs until `stop`. */
+  /** Starts the watch loop, which runs until `stop` is called. */
   start(): void {
     if (this.running) return;
     this.running = true;
     void this.runLoop();
   }
 
-  /** Stops the loop and aborts the waiting call. */
+  /** Stops the watch loop and aborts a pending read. */
   stop(): void {
     this.running = false;
     this.abort.abort();
   }
 
   /**
-   * Reads the service once without waiting, and tells whether the record now
-   * held is the newest one the service knows. False when the service cannot
-   * be read or serves a record older than the one held.
+   * Reads the service once without waiting for a change. Returns whether the
+   * current record is then the newest record of the service; false when the read
+   * fails, or when the service returns an older or invalid record.
    */
   async confirmNewest(): Promise<boolean> {
     const result = await this.readOnce(0);
@@ -107,8 +108,8 @@
   }
 
   /**
-   * Offers a raw record or delta; returns true when it is accepted as the
-   * newest. Exposed so that tests can drive the acceptance rule directly.
+   * Offers a raw record or delta, and returns whether it is accepted as the newest
+   * record.
    */
   offer(raw: unknown): boolean {
     const counters = this.options.counters;
@@ -121,8 +122,8 @@
       return false;
     }
     if (this.record !== undefined && record.version <= this.record.version) {
-      // A stale replica of the service can serve an older record after a
-      // newer one was accepted; taking it would revert the configuration.
+      // A stale replica of the service can return an older record after a newer
+      // one was accepted; accepting it would revert the configuration.
       counters.add('config.stale_ignored');
       return false;
     }
@@ -154,7 +155,8 @@
         continue;
       }
       if (!this.running) return;
-      // Full jitter keeps many readers from hitting a recovering service in step.
+      // Full jitter avoids synchronized reads of many clients from a service that
+      // recovers.
       await waitMs(Math.random() * backoffMs);
       backoffMs = Math.min(maxMs, backoffMs * 2);
     }
@@ -165,7 +167,8 @@
     const query = new URLSearchParams({
       after: String(this.version),
       waitMs: String(wait),
-      // Records of newer schemas may stand beside those this release reads.
+      // The service may also hold records of schemas that this release cannot
+      // read.
       schemas: SUPPORTED_SCHEMA_VERSIONS.join(','),
     });
     if (this.options.sections !== undefined)
@@ -176,8 +179,8 @@
         `${this.options.url}/v1/records/current?${query.toString()}`,
         {
           signal: this.abort.signal,
-          headersTimeout: wait + READ_SLACK_MS,
-          bodyTimeout: wait + READ_SLACK_MS,
+          headersTimeout: wait + READ_TIMEOUT_MARGIN_MS,
+          bodyTimeout: wait + READ_TIMEOUT_MARGIN_MS,
         },
       );
       if (response.statusCode === 304) {
@@ -200,7 +203,7 @@
 }
 
 /**
- * Creates a configuration watcher; call `start` to begin watching.
+ * Creates a configuration watcher; `start` begins watching.
  *
  * @example
  * const watcher = createConfigWatcher({url: 'http://127.0.0.1:7000', counters});
--- a/packages/core/src/daemon.ts
+++ b/packages/core/src/daemon.ts
@@ -1,6 +1,6 @@
 /**
- * The start of both binaries: read `--config`, check the settings, run the
- * task, drain on SIGTERM or SIGINT.
+ * Entry point shared by the gate and agent binaries: reads `--config`, validates
+ * the settings, runs the task and drains it on SIGTERM or SIGINT.
  */
 import meow from 'meow';
 import {SettingsError} from './errors.js';
@@ -9,38 +9,38 @@
 import {loadSettings} from './settings.js';
 import type {z} from 'zod';
 
-/** Exit status of a process whose settings are bad. */
+/** Exit status of a process whose settings or command line are invalid. */
 export const EXIT_BAD_SETTINGS = 2;
 
-/** Exit status of a process that could not start. */
+/** Exit status of a process whose task failed to start. */
 const EXIT_START_FAILED = 1;
 
-/** A long-running task that a binary hosts. */
+/** Long-running task of a binary. */
 export interface DaemonTask {
   start(): Promise<void>;
   /**
-   * Finishes what is in flight; resolves when the process may exit. Called
-   * again, it waits for the drain that is under way.
+   * Finishes the requests in flight; resolves when the process may exit. A
+   * repeated call waits for the drain that is under way.
    */
   drain(): Promise<void>;
-  /** Longest time that a drain takes, in ms. */
+  /** Longest duration of a drain, in ms. */
   readonly drainLimitMs: number;
 }
 
-/** What a binary is made of. */
+/** Definition of a binary. */
 export interface DaemonOptions<S extends z.ZodType> {
   /** Name on the command line, such as `nutmeggauge-gate`. */
   readonly name: string;
   /** `import.meta` of the binary. */
   readonly importMeta: ImportMeta;
-  /** What the settings file holds, for `--help`. */
+  /** Contents of the settings file, as shown by `--help`. */
   readonly settingsHelp: string;
   readonly schema: S;
   readonly createTask: (settings: z.output<S>) => DaemonTask;
 }
 
 /**
- * Runs a binary until it is told to stop.
+ * Runs a binary until SIGTERM or SIGINT stops it.
  *
  * @example
  * await runDaemon({name: 'nutmeggauge-gate', importMeta: import.meta, settingsHelp: '…', schema, createTask: createGate});
@@ -71,8 +71,8 @@
     log.info('signal_received', {signal});
     void task.drain().then(() => process.exit(0));
   };
-  // They stay registered: a second signal would otherwise end the process
-  // during the drain.
+  // The signal handlers stay registered: a second signal would otherwise end the
+  // process during the drain.
   process.on('SIGTERM', () => stop('SIGTERM'));
   process.on('SIGINT', () => stop('SIGINT'));
   try {
@@ -84,12 +84,12 @@
 }
 
 /**
- * Reads the path of the settings file off the command line.
+ * Returns the path of the settings file from the command line.
  *
- * @throws SettingsError that names the word at fault.
+ * @throws SettingsError that names the invalid flag or argument.
  */
 function parseConfigPath(options: DaemonOptions<z.ZodType>): string {
-  const {flags, input} = readWords(options);
+  const {flags, input} = parseCommandLine(options);
   const foreign = Object.keys(flags).find(key => key !== 'config');
   if (foreign !== undefined)
     throw new SettingsError({info: {foreign}}, `unknown flag --${foreign}`);
@@ -101,7 +101,11 @@
   return config;
 }
 
-function readWords({name, importMeta, settingsHelp}: DaemonOptions<z.ZodType>) {
+function parseCommandLine({
+  name,
+  importMeta,
+  settingsHelp,
+}: DaemonOptions<z.ZodType>) {
   try {
     return meow(
       `
@@ -114,7 +118,7 @@
       {importMeta, flags: {config: {type: 'string', shortFlag: 'c'}}},
     );
   } catch (cause) {
-    // meow throws for a flag that is set twice, in several lines.
+    // meow throws an error with a multi-line message for a repeated flag.
     const message = (cause as Error).message.replace(/\s+/g, ' ');
     throw new SettingsError({cause: cause as Error}, message);
   }
--- a/packages/core/src/errors.ts
+++ b/packages/core/src/errors.ts
@@ -1,10 +1,10 @@
 /**
- * Typed failures shared by every package. Each failure is a VError subclass
- * with a stable `code`, so callers branch on the type, never on message text.
+ * Error classes shared by all packages. Each class extends VError and has a
+ * stable `code`, so that code branches on the type or code, not on message texts.
  */
 import VError from 'verror';
 
-/** Stable machine-readable codes carried by every nutmeggauge failure. */
+/** Stable machine-readable codes of nutmeggauge errors. */
 export type ErrorCode =
   | 'settings_invalid'
   | 'config_record_invalid'
@@ -15,10 +15,10 @@
   | 'unknown_stand_in';
 
 /**
- * Base of every failure raised by nutmeggauge.
+ * Base class of errors raised by nutmeggauge.
  *
  * @example
- * throw new SettingsError({info: {key: 'listen.port'}}, 'bad port');
+ * throw new SettingsError({info: {key: 'listen.port'}}, 'listen.port is not a valid port');
  */
 export abstract class NutmeggaugeError extends VError {
   abstract readonly code: ErrorCode;
@@ -27,49 +27,49 @@
     super(options, '%s', message);
   }
 
-  /** Fields attached at the throw site (`info` of VError). */
+  /** Fields attached where the error is thrown (`info` of VError). */
   get details(): Readonly<Record<string, unknown>> {
     return VError.info(this);
   }
 }
 
-/** A settings file that cannot be read or does not match its schema. */
+/** Settings or a command line that cannot be read or are invalid. */
 export class SettingsError extends NutmeggaugeError {
   readonly code = 'settings_invalid';
   override name = 'SettingsError';
 }
 
-/** A configuration record from the configuration service that is rejected. */
+/** A configuration record that is invalid or has an unknown schema version. */
 export class ConfigRecordError extends NutmeggaugeError {
   readonly code = 'config_record_invalid';
   override name = 'ConfigRecordError';
 }
 
-/** The json-rpc link closed while a call was outstanding. */
+/** A JSON-RPC call whose link closed before the call or while it was outstanding. */
 export class RpcClosedError extends NutmeggaugeError {
   readonly code = 'rpc_closed';
   override name = 'RpcClosedError';
 }
 
-/** A json-rpc call that returned an error response. */
+/** A JSON-RPC call that returned an error, or a call or connect that timed out. */
 export class RpcFailedError extends NutmeggaugeError {
   readonly code = 'rpc_failed';
   override name = 'RpcFailedError';
 }
 
-/** A target that could not be reached: nothing was sent to it. */
+/** A target that could not be reached, so nothing was sent to it. */
 export class TargetUnreachableError extends NutmeggaugeError {
   readonly code = 'target_unreachable';
   override name = 'TargetUnreachableError';
 }
 
-/** A local cluster whose processes did not start or become ready. */
+/** A local cluster whose processes failed to start or to become ready. */
 export class ClusterError extends NutmeggaugeError {
   readonly code = 'cluster_failed';
   override name = 'ClusterError';
 }
 
-/** A kind of stand-in that does not exist. */
+/** An unknown kind of stand-in (simulated engine or service). */
 export class UnknownStandInError extends NutmeggaugeError {
   readonly code = 'unknown_stand_in';
   override name = 'UnknownStandInError';
--- a/packages/core/src/http.ts
+++ b/packages/core/src/http.ts
@@ -1,14 +1,14 @@
 /**
- * Small helpers for Node's `http` servers used by gate, agent and stand-ins.
+ * Request and response helpers for Node's `http` servers.
  */
 import {finished} from 'node:stream/promises';
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
-/** Largest JSON body accepted: a 1M-token prompt is about 4 MB of text. */
+/** Largest accepted JSON body; a 1M-token prompt is about 4 MB of text. */
 export const MAX_BODY_BYTES = 16 * 1024 * 1024;
 
 /**
- * Reads the path of a request; nothing if its URL is invalid, such as "//".
+ * Returns the path of a request; undefined when its URL is invalid, such as "//".
  *
  * @example
  * readPath(req); // '/v1/completions'
@@ -22,10 +22,12 @@
 }
 
 /**
- * Reads a body; resolves undefined when it is larger than `limitBytes`. It is
- * read to its end either way, so that the caller can be answered.
+ * Reads a request body; resolves to undefined when it is larger than
+ * `limitBytes`. A body over the limit is still read to its end, so that the
+ * caller can receive an answer.
  *
- * @throws The connection's error when the caller leaves amid its body.
+ * @throws The connection's error when the caller disconnects while sending the
+ *   body.
  * @example
  * const body = await readBody(req, MAX_BODY_BYTES);
  */
@@ -44,7 +46,7 @@
 }
 
 /**
- * Parses a body as JSON; undefined when it is not.
+ * Parses a body as JSON; returns undefined when it is not valid JSON.
  *
  * @example
  * parseJson(Buffer.from('{"a":1}')); // {a: 1}
@@ -58,9 +60,11 @@
 }
 
 /**
- * Reads a request body as JSON; resolves undefined when it is not JSON or too large.
+ * Reads a request body as JSON; resolves to undefined when it is not valid JSON or
+ * larger than `MAX_BODY_BYTES`.
  *
- * @throws The connection's error when the caller leaves amid its body.
+ * @throws The connection's error when the caller disconnects while sending the
+ *   body.
  * @example
  * const body = await readJsonBody(req);
  */
@@ -70,8 +74,8 @@
 }
 
 /**
- * Reads a body to its end and drops it. A connection that is closed over unread
- * data is reset, and its caller loses the answer.
+ * Reads a request body to its end and discards it. Closing a connection with
+ * unread data resets it, and the caller loses the answer.
  *
  * @example
  * await dropBody(req);
@@ -79,7 +83,7 @@
  */
 export async function dropBody(req: IncomingMessage): Promise<void> {
   req.resume();
-  // A caller that leaves amid its body needs no answer.
+  // A caller that disconnects while sending its body needs no answer.
   await finished(req, {writable: false}).catch(() => undefined);
 }
 
@@ -105,7 +109,7 @@
 }
 
 /**
- * Starts an SSE response.
+ * Writes the head of a server-sent events (SSE) response.
  *
  * @example
  * startSse(res); writeSse(res, {seq: 0});
@@ -118,7 +122,7 @@
 }
 
 /**
- * Writes one SSE event with a JSON (or literal string) data field.
+ * Writes one SSE event; `data` is sent as is when it is a string, else as JSON.
  *
  * @example
  * writeSse(res, {seq: 1, text: 'a'}, 'token');
--- a/packages/core/src/idempotency-key.ts
+++ b/packages/core/src/idempotency-key.ts
@@ -1,22 +1,22 @@
 /**
- * What an Idempotency-Key says of its age. A UUIDv7 carries the time at
- * which the caller made it; any other text says nothing of its age.
+ * Age of Idempotency-Keys. A UUIDv7 contains the time at which the caller
+ * created it; the age of any other key is unknown.
  *
- * The age matters because agents keep their ledgers in memory only: an agent
- * that restarted can run a key made after its start, and must not run one
- * that may have met the ledger of its earlier life.
+ * Agents keep their ledgers of executed keys in memory only. After a restart, an
+ * agent may run a request whose key was created after the start, but must not
+ * run one whose key the ledger of an earlier incarnation may have recorded.
  */
 import {parse, validate, version} from 'uuid';
 
 /**
- * Most that the clocks of callers, gates and agents are taken to differ, in
- * ms. A key from further in the future is refused by the gate.
+ * Assumed maximum clock skew between callers, gates and agents, in ms. The gate
+ * rejects a key whose creation time lies further in the future.
  */
 export const CLOCK_SKEW_MS = 2000;
 
 /**
- * Reads the time at which a key was made, in epoch ms; undefined when the
- * key is not a UUIDv7.
+ * Returns the creation time of a key in epoch ms; undefined when the key is not
+ * a UUIDv7.
  *
  * @example
  * readMintTime('01939f2e-7b1c-7000-8000-000000000000'); // 1733500000028
--- a/packages/core/src/last-resort.test.ts
+++ b/packages/core/src/last-resort.test.ts
@@ -2,7 +2,7 @@
 import {expect} from 'earl';
 import {createLastResort} from './last-resort.js';
 
-function createWorld() {
+function createHarness() {
   const lines: string[] = [];
   const exits: number[] = [];
   let drains = 0;
@@ -19,10 +19,10 @@
   return {handle, exits, readLog, countDrains: () => drains};
 }
 
-describe('an error that nothing caught', () => {
-  it('leaves the gate serving when a connection raised it', async () => {
-    // Guards against a late connection error that ends the process.
-    const {handle, exits, readLog, countDrains} = createWorld();
+describe('handler of uncaught errors', () => {
+  it('logs a connection reset and keeps the process running', async () => {
+    // Guards against a late error of one connection ending the process.
+    const {handle, exits, readLog, countDrains} = createHarness();
     const reset = Object.assign(new Error('read ECONNRESET'), {
       code: 'ECONNRESET',
       syscall: 'read',
@@ -34,38 +34,38 @@
     expect(readLog().includes('ECONNRESET')).toEqual(true);
   });
 
-  it('ends the gate in order when its own state is in doubt', async () => {
-    // Guards against going on after an error of the program itself.
-    const {handle, exits, countDrains} = createWorld();
+  it('drains once and exits once with status 1 after errors that are not connection errors', async () => {
+    // Guards against serving on with inconsistent state after a program error.
+    const {handle, exits, countDrains} = createHarness();
     handle(new TypeError('x is undefined'));
-    handle('not even an error');
+    handle('a thrown string');
     await new Promise(resolve => setImmediate(resolve));
     expect(exits).toEqual([1]);
     expect(countDrains()).toEqual(1);
   });
 
-  it('takes whatever may be thrown', async () => {
-    // Guards against a handler that fails on a thrown value without a text.
+  it('exits with status 1 for thrown values that are not errors', async () => {
+    // Guards against a handler that itself fails on a value without a string form.
     for (const thrown of [undefined, null, Object.create(null), 7]) {
-      const {handle, exits} = createWorld();
+      const {handle, exits} = createHarness();
       handle(thrown);
       await new Promise(resolve => setImmediate(resolve));
       expect(exits).toEqual([1]);
     }
   });
 
-  it('goes on after an error of a connection that names no call', () => {
-    // Guards against treating Node's own connection errors as errors of the
-    // program.
+  it('keeps the process running after connection errors without a system call', () => {
+    // Guards against exiting on connection errors that Node raises itself, which
+    // have a code but no system call.
     for (const code of ['ECONNRESET', 'EPIPE', 'HPE_INVALID_CONSTANT']) {
-      const {handle, exits, countDrains} = createWorld();
+      const {handle, exits, countDrains} = createHarness();
       handle(Object.assign(new Error('socket hang up'), {code}));
       expect([exits.length, countDrains()]).toEqual([0, 0]);
     }
   });
 
-  it('ends even where the drain never does', async () => {
-    // Guards against a drain that never ends.
+  it('exits with status 1 when the drain hangs, rejects or throws', async () => {
+    // Guards against a failed or endless drain keeping the process alive.
     for (const drain of [
       () => new Promise<void>(() => undefined),
       () => Promise.reject(new Error('no drain')),
--- a/packages/core/src/last-resort.ts
+++ b/packages/core/src/last-resort.ts
@@ -1,40 +1,38 @@
 /**
- * Last handler of uncaught errors: one connection's late error must not end the
- * process with all its requests.
+ * Process-wide handler of uncaught errors. A late error of one connection must
+ * not end the process with all its requests.
  */
 
-/** Most characters of a stack in a log line. */
+/** Maximum length of a stack trace in a log line, in characters. */
 const STACK_CHARS = 1500;
 
-/** Log of the handler. */
-export interface LastResortLog {
+/** Log that the handler of uncaught errors writes to. */
+export interface UncaughtErrorLog {
   error(event: string, fields: Readonly<Record<string, unknown>>): void;
 }
 
-/** Dependencies of the handler. */
-export interface LastResortOptions {
-  readonly log: LastResortLog;
-  /** Shuts down gracefully. */
+/** Options of the handler of uncaught errors. */
+export interface UncaughtErrorHandlerOptions {
+  readonly log: UncaughtErrorLog;
+  /** Finishes requests in flight before a shutdown. */
   readonly drain: () => Promise<void>;
   /**
-   * Longest wait for the drain, in ms: a request that is never counted down
-   * would keep the process alive.
+   * Longest wait for the drain, in ms. A request that is never counted as ended
+   * would otherwise keep the process alive.
    */
   readonly drainLimitMs: number;
   readonly exit: (status: number) => void;
 }
 
-/** Exit status after an error of the program. */
+/** Exit status after an uncaught error that is not a connection error. */
 const EXIT_UNCAUGHT = 1;
 
-/**
- * Codes of connection errors that Node raises itself, without a system call.
- */
+/** Codes of connection errors that Node raises without a system call. */
 const CONNECTION_CODE = /^(ECONNRESET|EPIPE|HPE_[A-Z_]+)$/;
 
 /**
- * Says whether an error belongs to a single connection: the system call or the
- * code names it. The program's own state is not affected.
+ * Returns whether an error concerns a single connection, as shown by its system
+ * call or its code. Such an error does not affect the state of the program.
  *
  * @example
  * isConnectionError(new Error('x')); // false
@@ -46,18 +44,18 @@
 }
 
 /**
- * Creates the handler. Connection errors are logged; after any other error the
- * state may be inconsistent, so the process shuts down gracefully and is
- * restarted.
+ * Creates a handler of uncaught errors. Connection errors are only logged. After
+ * any other error the state may be inconsistent, so the process drains and
+ * exits, to be restarted.
  *
  * @example
  * observeUncaught(createLastResort(options));
  */
 export function createLastResort(
-  options: LastResortOptions,
+  options: UncaughtErrorHandlerOptions,
 ): (error: unknown) => void {
   const {log} = options;
-  let isEnding = false;
+  let isShuttingDown = false;
   return error => {
     const goesOn = isConnectionError(error);
     const {message, stack, code} = toError(error);
@@ -67,15 +65,15 @@
       stack: stack?.slice(0, STACK_CHARS),
       goesOn,
     });
-    if (goesOn || isEnding) return;
-    isEnding = true;
-    void endInOrder(options);
+    if (goesOn || isShuttingDown) return;
+    isShuttingDown = true;
+    void drainAndExit(options);
   };
 }
 
 /**
- * Passes every uncaught error to `handle`, including errors of closed output
- * streams.
+ * Passes uncaught exceptions and unhandled rejections to `handle`. Errors of
+ * stdout and stderr, such as a closed pipe, are ignored.
  *
  * @example
  * observeUncaught(createLastResort({log, drain, drainLimitMs, exit}));
@@ -87,8 +85,10 @@
   process.stderr.on('error', () => undefined);
 }
 
-/** Never rejects, and exits once. */
-async function endInOrder(options: LastResortOptions): Promise<void> {
+/** Drains, then exits, also when the drain fails or exceeds its limit. */
+async function drainAndExit(
+  options: UncaughtErrorHandlerOptions,
+): Promise<void> {
   const {drain, drainLimitMs, exit} = options;
   let timer: NodeJS.Timeout | undefined;
   const limit = new Promise<void>(resolve => {
@@ -97,16 +97,18 @@
   try {
     await Promise.race([drain(), limit]);
   } catch {
-    // A failed drain leaves nothing to wait for.
+    // After a failed drain there is nothing to wait for.
   }
   clearTimeout(timer);
   exit(EXIT_UNCAUGHT);
 }
 
-/** Anything may be thrown, including objects without a text. */
+/** Converts any thrown value to an error, including objects without a string form. */
 function toError(thrown: unknown): NodeJS.ErrnoException {
   if (thrown instanceof Error) return thrown;
   return new Error(
-    typeof thrown === 'object' ? 'no error object' : String(thrown),
+    typeof thrown === 'object'
+      ? 'thrown object is not an Error'
+      : String(thrown),
   );
 }
--- a/packages/core/src/length-class.ts
+++ b/packages/core/src/length-class.ts
@@ -1,16 +1,16 @@
 /**
- * Classes of prompt length, shortest first: the priority at the engine, and the
- * unit of load reports.
+ * Prompt length classes, shortest first. The class of a request is its priority
+ * at the engine, and load reports give pending tokens per class.
  */
 
-/** Longest prompt of each class but the last, in tokens. */
+/** Longest prompt of each class except the last, in tokens. */
 const CLASS_BOUNDS = [8_192, 32_768, 131_072] as const;
 
-/** Number of classes. */
+/** Number of length classes. */
 export const LENGTH_CLASSES = CLASS_BOUNDS.length + 1;
 
 /**
- * Finds the class of a prompt, 0 for the shortest.
+ * Returns the length class of a prompt; 0 is the class of the shortest prompts.
  *
  * @example
  * findLengthClass(5000); // 0
@@ -22,7 +22,7 @@
 }
 
 /**
- * Creates a count of zero for each class.
+ * Creates an array with a count of zero for each length class.
  *
  * @example
  * createClassCounts(); // [0, 0, 0, 0]
--- a/packages/core/src/listen.test.ts
+++ b/packages/core/src/listen.test.ts
@@ -4,54 +4,60 @@
 import {expect} from 'earl';
 import {closeHttpServer, closeIdleWhenRead, openListener} from './listen.js';
 
-/** Idle timeout of kept connections, in ms. */
+/** Idle timeout of keep-alive connections, in ms. */
 const IDLE_MS = 1000;
 
-/** Suspension, in ms: Node adds a second to the idle timeout. */
-const FROZEN_MS = 2600;
+/** Duration of the suspension, in ms; Node adds a second to the idle timeout. */
+const SUSPENSION_MS = 2600;
 
 const REQUEST = 'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n';
 
-/** Blocks like a stopped process: no reads, no timers. */
+/** Blocks the thread: like in a suspended process, no I/O and no timers run. */
 function freezeProcess(): void {
-  Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, FROZEN_MS);
+  Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, SUSPENSION_MS);
 }
 
-/** Sends two requests on one connection; returns how each ends. */
-async function askTwice(freezes: boolean): Promise<readonly string[]> {
+/**
+ * Sends a request on a keep-alive connection, and a second one followed by a
+ * suspension if `shouldFreeze`. Returns the answers and resets seen by the client.
+ */
+async function sendTwoRequests(
+  shouldFreeze: boolean,
+): Promise<readonly string[]> {
   const server = createServer({keepAliveTimeout: IDLE_MS}, (_req, res) => {
     res.end('ok');
   });
   closeIdleWhenRead(server);
   const port = await openListener(server, {host: '127.0.0.1', port: 0});
-  const seen: string[] = [];
+  const outcomes: string[] = [];
   await new Promise<void>(resolve => {
     const socket = connect(port, '127.0.0.1', () => socket.write(REQUEST));
     socket.on('data', () => {
-      seen.push('answer');
-      if (seen.length > 1) socket.end();
-      // After the round of reading that follows the timers.
-      else if (freezes)
+      outcomes.push('answer');
+      if (outcomes.length > 1) socket.end();
+      // Sends after the current poll phase, so the server has not read the request
+      // when the process freezes.
+      else if (shouldFreeze)
         setImmediate(() => {
           socket.write(REQUEST);
           freezeProcess();
         });
     });
-    socket.on('error', () => seen.push('reset'));
+    socket.on('error', () => outcomes.push('reset'));
     socket.on('close', () => resolve());
   });
   await closeHttpServer(server);
-  return seen;
+  return outcomes;
 }
 
-describe('connections that are kept', () => {
-  it('are not reset over a request that waits to be read', async () => {
-    // Guards against closing a connection whose request arrived during a
-    // suspension.
-    expect(await askTwice(true)).toEqual(['answer', 'answer']);
+describe('closing of idle HTTP connections', () => {
+  it('keeps a connection whose request arrived during a suspension longer than the idle timeout', async () => {
+    // Guards against resetting a connection with an unread request: after a
+    // suspension, the idle timeout fires before the server reads its sockets.
+    expect(await sendTwoRequests(true)).toEqual(['answer', 'answer']);
   });
 
-  it('are closed when nobody uses them', async () => {
-    expect(await askTwice(false)).toEqual(['answer']);
+  it('closes a connection without a further request after the idle timeout', async () => {
+    expect(await sendTwoRequests(false)).toEqual(['answer']);
   });
 });
--- a/packages/core/src/listen.ts
+++ b/packages/core/src/listen.ts
@@ -1,20 +1,21 @@
 /**
- * Opening and closing of listeners, the same for HTTP and json-rpc servers.
+ * Opening and closing of listeners for HTTP and JSON-RPC servers.
  */
 import type {Server as HttpServer} from 'node:http';
 import type {Server} from 'node:net';
 
-/** Where a process listens. */
+/** Address that a process listens on. */
 export interface ListenAddress {
   readonly host: string;
-  /** 0 lets the system pick a free port. */
+  /** TCP port; 0 lets the system pick a free one. */
   readonly port: number;
 }
 
 /**
- * Listens and resolves with the bound port.
+ * Starts listening and resolves with the bound port.
  *
- * @throws The system's error (EADDRINUSE, EACCES) when the address is taken.
+ * @throws The system's error (EADDRINUSE, EACCES) when the address cannot be
+ *   bound.
  * @example
  * const port = await openListener(server, {host: '127.0.0.1', port: 0});
  */
@@ -23,15 +24,16 @@
   address: ListenAddress,
 ): Promise<number> {
   return new Promise((resolve, reject) => {
-    // Stays registered: an open listener raises an error for each connection
-    // that it cannot accept.
+    // The error handler stays registered: an open listener emits an error for
+    // each connection that it cannot accept.
     server.on('error', reject);
     server.listen(address.port, address.host, () => resolve(readPort(server)));
   });
 }
 
 /**
- * Reads the port a server is bound to; 0 while it does not listen.
+ * Returns the port that a server is bound to; 0 while the server is not
+ * listening.
  *
  * @example
  * readPort(server); // 8080
@@ -42,45 +44,47 @@
 }
 
 /**
- * Rounds of the event loop without a new connection after which all that has
- * arrived is read: the first may have begun, the last reads the requests of the
- * connection before. Node accepts one connection a round.
+ * Event loop iterations without a new connection after which all received data
+ * has been read. Node accepts one connection per iteration: the first iteration
+ * may already be under way, and the last one reads the requests of the
+ * connection accepted before it.
  */
-const QUIET_ROUNDS = 3;
+const IDLE_ITERATIONS = 3;
 
-/** Longest wait for reading, in ms: callers may go on connecting. */
-const READING_LIMIT_MS = 1000;
+/** Longest wait for pending reads, in ms, as callers may keep connecting. */
+const MAX_READ_WAIT_MS = 1000;
 
 /**
- * Waits until all that has arrived at a server is read, connections that wait
- * to be accepted included: a resumed process runs its timers and signal
- * handlers before it reads.
+ * Waits until a server has read all data that has arrived, including data on
+ * connections that are not accepted yet. A process that resumes after a
+ * suspension runs its timers and signal handlers before it reads its sockets.
  *
  * @example
  * await waitForReading(server);
  * server.close();
  */
 export async function waitForReading(server: Server): Promise<void> {
-  const giveUpAt = performance.now() + READING_LIMIT_MS;
-  let quietRounds = 0;
-  const markBusy = () => (quietRounds = 0);
-  server.on('connection', markBusy);
-  while (quietRounds < QUIET_ROUNDS && performance.now() < giveUpAt) {
-    quietRounds++;
+  const giveUpAt = performance.now() + MAX_READ_WAIT_MS;
+  let idleIterations = 0;
+  const resetIdleIterations = () => (idleIterations = 0);
+  server.on('connection', resetIdleIterations);
+  while (idleIterations < IDLE_ITERATIONS && performance.now() < giveUpAt) {
+    idleIterations++;
     await new Promise(resolve => setImmediate(resolve));
   }
-  server.off('connection', markBusy);
+  server.off('connection', resetIdleIterations);
 }
 
 /**
- * Closes idle connections only after pending data has been read: a resumed
- * process runs its timers before it reads.
+ * Makes a server close idle connections only after it has read pending data. A
+ * process that resumes after a suspension runs its timers before it reads its
+ * sockets, and would otherwise close connections with unread requests.
  *
  * @example
  * closeIdleWhenRead(createServer(serve));
  */
 export function closeIdleWhenRead(server: HttpServer): void {
-  // With a listener, Node leaves closing to it.
+  // With a `timeout` listener, Node no longer closes the socket itself.
   server.on('timeout', socket => {
     const bytesRead = socket.bytesRead;
     setImmediate(() => {
@@ -90,7 +94,7 @@
 }
 
 /**
- * Cuts every connection and resolves once the server has closed.
+ * Closes all connections at once and resolves when the server has closed.
  *
  * @example
  * await closeHttpServer(server);
--- a/packages/core/src/log.ts
+++ b/packages/core/src/log.ts
@@ -1,30 +1,30 @@
 /**
- * Structured logging: one JSON object a line on stderr, through loglevel.
- * Each line carries `t` (epoch ms), `proc` (process name), `level` and
- * `event`, so that `nutmeggauge timeline` can merge every process's log.
+ * Structured logging: one JSON object per line on stderr, through loglevel.
+ * Each line has the fields `t` (epoch ms), `proc` (process name), `level` and
+ * `event`, so that `nutmeggauge timeline` can merge the logs of all processes.
  */
 import loglevel from 'loglevel';
 import {readClockMs} from './clock.js';
 
-/** Fields attached to one log line; values must be JSON-serialisable. */
+/** Additional fields of one log line; values must be JSON-serializable. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** A logger bound to one process and one component. */
+/** Logger of one component of this process. */
 export interface Logger {
-  /** A change of state worth a line of its own. */
+  /** Logs a change of state. */
   info(event: string, fields?: LogFields): void;
-  /** A failure that the process survives. */
+  /** Logs a failure after which the process keeps running. */
   warn(event: string, fields?: LogFields): void;
-  /** A failure that ends or breaks the process. */
+  /** Logs a failure that ends the process or leaves it broken. */
   error(event: string, fields?: LogFields): void;
-  /** Detail for debugging; off unless NUTMEGGAUGE_LOG=debug. */
+  /** Logs details for debugging; disabled unless NUTMEGGAUGE_LOG=debug. */
   debug(event: string, fields?: LogFields): void;
 }
 
 let processName = 'nutmeggauge';
 
 /**
- * Sets the `proc` field of every line written by this process.
+ * Sets the `proc` field of all log lines that this process writes.
  *
  * @example
  * setProcessName('gate-1');
@@ -53,17 +53,19 @@
 /**
  * Creates a logger for one component of this process.
  *
- * @param component - Short name of the slice, such as `admission`.
+ * @param component - Short name of the component, such as `admission`.
  * @example
  * const log = createLogger('routing');
  * log.info('target_added', {target: 'engine-1'});
  */
 export function createLogger(component: string): Logger {
   const base = loglevel.getLogger(component);
-  const wanted = process.env.NUTMEGGAUGE_LOG ?? 'info';
+  const configuredLevel = process.env.NUTMEGGAUGE_LOG ?? 'info';
   base.setLevel(
-    wanted === 'debug' || wanted === 'warn' || wanted === 'silent'
-      ? wanted
+    configuredLevel === 'debug' ||
+      configuredLevel === 'warn' ||
+      configuredLevel === 'silent'
+      ? configuredLevel
       : 'info',
   );
   base.methodFactory = (methodName: string) => {
--- a/packages/core/src/loopback.ts
+++ b/packages/core/src/loopback.ts
@@ -1,8 +1,8 @@
 /** Loopback addresses for tests that run several hosts on one machine. */
 
 /**
- * A loopback address that no other test process uses: its low bits are this
- * process's id and `n`, from 0 to 3.
+ * Builds a loopback address that no other test process uses, from the process id
+ * and `n`, which ranges from 0 to 3.
  *
  * @example
  * buildLoopbackHost(1); // '127.0.98.13'
--- a/packages/core/src/metrics.ts
+++ b/packages/core/src/metrics.ts
@@ -1,11 +1,11 @@
 /**
- * Counters and latency histograms. Counters come first (the house rule:
- * counters first, log lines only for changes of state); histograms are
- * hdr-histogram-js with microsecond resolution.
+ * Counters and latency histograms. Events are counted; log lines are written
+ * only for changes of state. Histograms use hdr-histogram-js with microsecond
+ * resolution.
  */
 import * as hdr from 'hdr-histogram-js';
 
-/** Percentiles of one histogram, in milliseconds. */
+/** Number of samples of one histogram, and its percentiles in milliseconds. */
 export interface LatencySummary {
   readonly count: number;
   readonly p50: number;
@@ -14,7 +14,7 @@
   readonly max: number;
 }
 
-/** Longest latency a histogram tracks: one hour, in microseconds. */
+/** Highest latency that a histogram tracks, in microseconds: one hour. */
 const HIGHEST_TRACKABLE_US = 3_600_000_000;
 
 /**
@@ -32,7 +32,10 @@
     numberOfSignificantValueDigits: 3,
   });
 
-  /** Records one latency; values below zero are recorded as zero. */
+  /**
+   * Records one latency. Values below zero are recorded as zero, values over one
+   * hour as one hour.
+   */
   recordMs(ms: number): void {
     const us = Math.min(
       HIGHEST_TRACKABLE_US,
@@ -41,7 +44,7 @@
     this.histogram.recordValue(us);
   }
 
-  /** Returns count and percentiles in milliseconds. */
+  /** Returns the number of samples, and the percentiles in milliseconds. */
   summarize(): LatencySummary {
     const read = (p: number) => this.histogram.getValueAtPercentile(p) / 1000;
     return {
@@ -65,7 +68,8 @@
 }
 
 /**
- * Named monotonic counters of one process, read by `/metrics` and the bench.
+ * Named monotonic counters of one process, exposed at `/metrics` and read by
+ * benchmarks.
  *
  * @example
  * const counters = createCounters();
--- a/packages/core/src/protocol.ts
+++ b/packages/core/src/protocol.ts
@@ -1,74 +1,84 @@
 /**
- * Messages between a gate and an agent over json-rpc. The gate calls
- * `dispatch`; the agent streams `chunk` notifications for that request and
- * sends `load` notifications on its own schedule; the gate may send `cancel`.
+ * JSON-RPC messages between a gate and an agent. The gate calls `dispatch`; the
+ * agent confirms with `accepted`, streams `chunk` notifications for the request
+ * and sends `load` notifications on its own schedule. The gate may send `cancel`.
  */
 
 import {z} from 'zod';
 import {LENGTH_CLASSES} from './length-class.js';
 
-/** Json-rpc method and notification names. */
+/** Names of JSON-RPC methods and notifications. */
 export const RpcMethod = {
   dispatch: 'dispatch',
   chunk: 'chunk',
   cancel: 'cancel',
   load: 'load',
   accepted: 'accepted',
-  /** Gate → gate: version of the record held. */
+  /** Gate → gate: asks for the version of the configuration record in use. */
   recordVersion: 'record-version',
-  /** Gate → gate: asks for the record; gate → agent: hands its pools over. */
+  /**
+   * Gate → gate: asks for the configuration record. Gate → agent: sends the
+   * record without client accounts.
+   */
   record: 'record',
 } as const;
 
-/** What a dispatched request asks the target to do. */
+/** Operation that a dispatched request asks of the target. */
 export type DispatchKind = 'generate' | 'call';
 
-/** Where an interrupted stream goes on. */
+/** Position at which an interrupted stream resumes. */
 export interface ResumePoint {
-  /** Sequence number of the next chunk; every one below it was delivered. */
+  /** Sequence number of the next chunk; all lower ones have been delivered. */
   readonly fromSeq: number;
-  /** Text delivered so far; the engine continues it. */
+  /** Text delivered so far, which the engine continues. */
   readonly text: string;
 }
 
 /** Parameters of `dispatch` (gate → agent). */
 export interface DispatchRequest {
-  /** Id assigned by the gate, carried end to end. */
+  /** Id assigned by the gate and passed on end to end. */
   readonly requestId: string;
   readonly account: string;
   readonly pool: string;
   readonly kind: DispatchKind;
   /** Prompt text, for `generate`. */
   readonly prompt?: string;
-  /** Most tokens to generate, for `generate`. */
+  /** Maximum number of tokens to generate, for `generate`. */
   readonly maxTokens?: number;
   /** Operation name, for `call` on a plain service. */
   readonly op?: string;
   /** Operation arguments, for `call`. */
   readonly args?: Readonly<Record<string, unknown>>;
-  /** Epoch ms after which the request must not start. */
+  /** Time in epoch ms after which the request must not start. */
   readonly deadlineAt: number;
   /** True when the request may run at most once. */
   readonly notRepeatable: boolean;
   /** Key of the at-most-once ledger; set when `notRepeatable`. */
   readonly ledgerKey?: string;
-  /** True when the caller gave an Idempotency-Key, so copies may follow. */
+  /**
+   * True when the caller sent an Idempotency-Key, so duplicates of the request
+   * may follow.
+   */
   readonly keyed: boolean;
-  /** Epoch ms at which the caller made its key, when the key tells. */
+  /**
+   * Creation time of the Idempotency-Key in epoch ms; absent when the key has no
+   * timestamp.
+   */
   readonly keyMintedAt?: number;
-  /** Version of the gate's configuration record. */
+  /** Version of the configuration record that the gate uses. */
   readonly recordVersion: number;
-  /** Set when the request goes on with a stream that broke off. */
+  /** Set when the request resumes an interrupted stream. */
   readonly resume?: ResumePoint;
-  /** 1 for the first try, counting up across targets. */
+  /** Number of this attempt, from 1, counted across all targets. */
   readonly attempt: number;
 }
 
 /**
- * Final answer of `dispatch`.
- * - `done`: the target finished; `chunks` says how many were sent.
- * - `not-run`: the agent never handed the request to the target.
- * - `unknown`: it may have run; the gate must not resend a not-repeatable one.
+ * Result of `dispatch`.
+ * - `done`: the target finished; `chunks` is the number of chunks sent.
+ * - `not-run`: the agent did not pass the request to the target.
+ * - `unknown`: the request may have run; the gate must not retry it when it is
+ *   not repeatable.
  */
 export type DispatchOutcome =
   | {
@@ -77,7 +87,7 @@
       readonly tokens: number;
       readonly cachedTokens: number;
       readonly body?: unknown;
-      /** Status of a plain service's answer. */
+      /** HTTP status of the response of a plain service. */
       readonly httpStatus?: number;
     }
   | {
@@ -87,37 +97,43 @@
     }
   | {readonly status: 'unknown'; readonly reason: string};
 
-/** One piece of a streamed answer (agent → gate). */
+/** One chunk of a streamed answer (agent → gate). */
 export interface ChunkNotice {
   readonly requestId: string;
-  /** 0, 1, 2 … in the order the target produced them. */
+  /** Sequence number: 0, 1, 2 … in the order in which the target sends chunks. */
   readonly seq: number;
   readonly text: string;
 }
 
-/** Receipt of a dispatch (agent → gate): the agent is awake and has it. */
+/**
+ * Acknowledges a dispatch (agent → gate): the agent is running and has received
+ * the request.
+ */
 export interface AcceptedNotice {
   readonly requestId: string;
 }
 
-/** Request to stop work on a request (gate → agent). */
+/** Cancels a dispatched request (gate → agent). */
 export interface CancelNotice {
   readonly requestId: string;
 }
 
 /**
- * An agent's view of its target's load (agent → gate). Sent when it changes
- * on links in use, and as a slow heartbeat on the others.
+ * Load of a target as seen by its agent (agent → gate). Sent when the load
+ * changes on links in use, and as a slow heartbeat on other links.
  */
 export const LoadReportSchema = z.object({
   draining: z.boolean(),
-  /** Version of the record the agent holds; absent when it reads none. */
+  /**
+   * Version of the configuration record that the agent uses; absent when the
+   * agent reads none.
+   */
   recordVersion: z.number().optional(),
   queued: z.number(),
   inFlight: z.number(),
-  /** Prompt tokens queued or in prefill at agent and target, by length class. */
+  /** Prompt tokens queued or in prefill at the agent and its target, by length class. */
   pendingByClass: z.array(z.number()).length(LENGTH_CLASSES),
-  /** Tokens still to be generated by requests in flight. */
+  /** Tokens that requests in flight have yet to generate. */
   pendingDecodeTokens: z.number(),
 });
 export type LoadReport = Readonly<
--- a/packages/core/src/read-timeout.ts
+++ b/packages/core/src/read-timeout.ts
@@ -1,10 +1,11 @@
 /**
- * Timeouts on data from others. A resumed process runs its timers before it
- * reads, so data that arrived in time may still be unread.
+ * Timeouts for data expected from a peer. A process that resumes after a
+ * suspension runs its timers before it reads its sockets, so data that arrived
+ * in time may still be unread when a plain timer fires.
  */
 
 /**
- * A timeout that expires only after a round of reading.
+ * A timeout that expires only after the event loop has read pending data once.
  *
  * @example
  * const timeout = new ReadTimeout(() => giveUp(), 1000);
@@ -15,8 +16,8 @@
   private readonly timer: NodeJS.Timeout;
 
   /**
-   * @param expire - Called once, unless stopped before.
-   * @param ms - Shortest time until then.
+   * @param expire - Called once on expiry, unless the timeout is stopped first.
+   * @param ms - Shortest time until expiry, in ms.
    */
   constructor(expire: () => void, ms: number) {
     this.timer = setTimeout(
@@ -25,7 +26,7 @@
     );
   }
 
-  /** Ends the wait; further calls change nothing. */
+  /** Cancels the timeout; later calls have no effect. */
   stop(): void {
     this.isStopped = true;
     clearTimeout(this.timer);
--- a/packages/core/src/rendezvous.ts
+++ b/packages/core/src/rendezvous.ts
@@ -1,12 +1,13 @@
 /**
- * Rendezvous (highest random weight) hashing: every process with the same
- * list of targets finds the same home for a key, without talking to the
- * others, and a change of the list moves only the keys of the changed target.
+ * Rendezvous (highest random weight) hashing. Every process with the same list
+ * of targets maps a key to the same target, its home, without coordination, and
+ * a change of the list moves only the keys of the changed target.
  */
 import {createHash} from 'node:crypto';
 
 /**
- * Finds the id with the highest hash for `key`; undefined for an empty list.
+ * Returns the home of `key`: the id with the highest hash score, or undefined for
+ * an empty list.
  *
  * @example
  * findHome(['plain-1', 'plain-2'], 'acct:order-17'); // 'plain-2'
--- a/packages/core/src/rpc-errors.test.ts
+++ b/packages/core/src/rpc-errors.test.ts
@@ -10,7 +10,7 @@
 import type {Server, Socket} from 'node:net';
 import type {RpcLink} from './rpc.js';
 
-const ERRORS = [
+const ERROR_FACTORIES = [
   () =>
     Object.assign(new Error('read ECONNRESET'), {
       code: 'ECONNRESET',
@@ -21,8 +21,8 @@
   () => new Error('plain'),
 ];
 
-/** Points of an exchange at which an error may occur, in order. */
-const MOMENTS = [
+/** Points of an exchange at which a fault can be injected, in order. */
+const FAULT_POINTS = [
   'before the connect',
   'connected',
   'between the bytes of a line',
@@ -32,33 +32,43 @@
   'after the close',
 ] as const;
 
-/** How an error occurs: raised on one end's socket, or a reset by that end. */
-const WAYS = ['raised', 'raised twice', 'destroyed', 'reset'] as const;
+/** Ways to inject a fault into the socket of one end. */
+const FAULT_INJECTIONS = [
+  'raised',
+  'raised twice',
+  'destroyed',
+  'reset',
+] as const;
 
+/** A fault injected into a link. */
 interface Fault {
-  readonly moment: (typeof MOMENTS)[number];
+  readonly point: (typeof FAULT_POINTS)[number];
+  /** `near` is the accepting end, `far` the connecting end. */
   readonly end: 'near' | 'far';
-  readonly way: (typeof WAYS)[number];
+  readonly injection: (typeof FAULT_INJECTIONS)[number];
+  /** Index into `ERROR_FACTORIES`. */
   readonly error: number;
 }
 
-const FAULT: fc.Arbitrary<Fault> = fc.record({
-  moment: fc.constantFrom(...MOMENTS),
+const FAULT_ARBITRARY: fc.Arbitrary<Fault> = fc.record({
+  point: fc.constantFrom(...FAULT_POINTS),
   end: fc.constantFrom('near' as const, 'far' as const),
-  way: fc.constantFrom(...WAYS),
-  error: fc.nat({max: ERRORS.length - 1}),
+  injection: fc.constantFrom(...FAULT_INJECTIONS),
+  error: fc.nat({max: ERROR_FACTORIES.length - 1}),
 });
 
-function beginFault(socket: Socket, {way, error}: Fault): void {
-  const cause = ERRORS[error]();
-  if (way === 'reset') socket.resetAndDestroy();
-  if (way === 'destroyed') socket.destroy(cause);
-  if (way === 'raised' || way === 'raised twice') socket.emit('error', cause);
-  if (way === 'raised twice') socket.emit('error', ERRORS[error]());
+function applyFault(socket: Socket, {injection, error}: Fault): void {
+  const cause = ERROR_FACTORIES[error]();
+  if (injection === 'reset') socket.resetAndDestroy();
+  if (injection === 'destroyed') socket.destroy(cause);
+  if (injection === 'raised' || injection === 'raised twice')
+    socket.emit('error', cause);
+  if (injection === 'raised twice')
+    socket.emit('error', ERROR_FACTORIES[error]());
 }
 
-/** A listener whose links answer, and the sockets of both ends. */
-class LinkWorld {
+/** Test harness that injects faults into links between a client and a listener. */
+class LinkHarness {
   readonly uncaught: unknown[] = [];
   private readonly server: Server = createServer(socket => {
     this.near = socket;
@@ -81,64 +91,69 @@
   private readonly recordError = (error: unknown) => {
     this.uncaught.push(error);
   };
-  private readonly takeOpened = (message: unknown) => {
+  private readonly observeClientSocket = (message: unknown) => {
     this.far = (message as {readonly socket: Socket}).socket;
-    // The link's own listeners are not there yet: this is the opener's time.
-    process.nextTick(() => this.enter('before the connect'));
+    // Runs after `openRpcLink` has registered its error handler, and before the
+    // link exists.
+    process.nextTick(() => this.applyFaultsAt('before the connect'));
   };
 
   async start(): Promise<void> {
     this.port = await openListener(this.server, {host: '127.0.0.1', port: 0});
-    subscribe('net.client.socket', this.takeOpened);
+    subscribe('net.client.socket', this.observeClientSocket);
     process.on('uncaughtException', this.recordError);
     process.on('unhandledRejection', this.recordError);
   }
 
   stop(): void {
-    unsubscribe('net.client.socket', this.takeOpened);
+    unsubscribe('net.client.socket', this.observeClientSocket);
     process.off('uncaughtException', this.recordError);
     process.off('unhandledRejection', this.recordError);
     this.server.close();
   }
 
-  /** Runs one exchange with its faults; resolves with the call's answer. */
+  /**
+   * Runs one exchange with injected faults; resolves with the answer of its call,
+   * or with the error.
+   */
   async run(faults: readonly Fault[]): Promise<unknown> {
     this.faults = faults;
     this.near = undefined;
     const accepted = new Promise<void>(resolve => (this.accepted = resolve));
-    this.answering = () => this.enter('answering');
+    this.answering = () => this.applyFaultsAt('answering');
     let link: RpcLink;
     try {
       link = await openRpcLink(`127.0.0.1:${this.port}`, createCounters());
     } catch (error) {
       return error;
     }
-    // An accepted socket may be gone already, but it was accepted.
+    // Resolves even if the accepted socket has closed in the meantime.
     await accepted;
-    this.enter('connected');
+    this.applyFaultsAt('connected');
     this.far?.write('{"jsonrpc":"2.0",');
     await waitMs(1);
-    this.enter('between the bytes of a line');
+    this.applyFaultsAt('between the bytes of a line');
     this.far?.write('"method":"none"}\n');
     const call = link.call('slow', {}, 500).catch((error: unknown) => error);
-    this.enter('call outstanding');
+    this.applyFaultsAt('call outstanding');
     const answer = await call;
-    this.enter('answered');
+    this.applyFaultsAt('answered');
     await this.close(link);
-    this.enter('after the close');
+    this.applyFaultsAt('after the close');
     await waitMs(1);
     return answer;
   }
 
-  /** Whatever failed, no connection is left that nobody closes. */
-  async waitForNoConnection(): Promise<void> {
+  /** Waits until the server has no open connection. */
+  async waitForConnectionsToClose(): Promise<void> {
     const giveUpAt = performance.now() + 5000;
     const countOpen = () =>
       new Promise<number>(resolve =>
         this.server.getConnections((_error, count) => resolve(count)),
       );
     while ((await countOpen()) > 0) {
-      if (performance.now() > giveUpAt) throw new Error('left open');
+      if (performance.now() > giveUpAt)
+        throw new Error('server connections are still open after 5 s');
       await waitMs(1);
     }
   }
@@ -152,34 +167,38 @@
     await Promise.all(closed);
   }
 
-  private enter(moment: Fault['moment']): void {
+  /** Injects the faults of the current exchange that are set for `point`. */
+  private applyFaultsAt(point: Fault['point']): void {
     for (const fault of this.faults) {
       const socket = fault.end === 'near' ? this.near : this.far;
-      if (fault.moment === moment && socket !== undefined)
-        beginFault(socket, fault);
+      if (fault.point === point && socket !== undefined)
+        applyFault(socket, fault);
     }
   }
 }
 
-describe('errors of a link, whenever they come', () => {
-  let world: LinkWorld;
+describe('JSON-RPC link with socket faults', () => {
+  let harness: LinkHarness;
   before(async () => {
-    world = new LinkWorld();
-    await world.start();
+    harness = new LinkHarness();
+    await harness.start();
   });
-  after(() => world.stop());
+  after(() => harness.stop());
 
-  it('end the link and nothing else', async () => {
-    // Guards against late socket errors that end the process of either side.
+  it('raises no uncaught error, leaves no connection open and does not affect later links, for faults at any point of an exchange (property)', async () => {
+    // Guards against late socket errors ending the process of either end.
     await fc.assert(
-      fc.asyncProperty(fc.array(FAULT, {maxLength: 4}), async faults => {
-        world.uncaught.length = 0;
-        await world.run(faults);
-        expect(world.uncaught).toEqual([]);
-        expect(await world.run([])).toEqual('late');
-        await world.waitForNoConnection();
-        expect(world.uncaught).toEqual([]);
-      }),
+      fc.asyncProperty(
+        fc.array(FAULT_ARBITRARY, {maxLength: 4}),
+        async faults => {
+          harness.uncaught.length = 0;
+          await harness.run(faults);
+          expect(harness.uncaught).toEqual([]);
+          expect(await harness.run([])).toEqual('late');
+          await harness.waitForConnectionsToClose();
+          expect(harness.uncaught).toEqual([]);
+        },
+      ),
       {numRuns: 150, seed: 20261203},
     );
   });
--- a/packages/core/src/rpc.test.ts
+++ b/packages/core/src/rpc.test.ts
@@ -16,8 +16,8 @@
 import type {Socket} from 'node:net';
 import type {RpcLink} from './rpc.js';
 
-/** A thread that listens, and then takes no connection. */
-const DEAF_LISTENER = `
+/** Source of a worker that listens but never accepts a connection. */
+const NON_ACCEPTING_LISTENER = `
   const {createServer} = require('node:net');
   const {parentPort} = require('node:worker_threads');
   const server = createServer();
@@ -29,15 +29,18 @@
   });
 `;
 
-interface Pair {
+/** A link with the sockets of both ends. */
+interface LinkFixture {
   readonly link: RpcLink;
+  /** Socket of the peer. */
   readonly far: Socket;
+  /** Socket of `link`. */
   readonly near: Socket;
   close(): void;
 }
 
-/** A link whose far end is a bare socket. */
-async function openPair(): Promise<Pair> {
+/** Opens a link whose peer is a plain socket. */
+async function openLinkFixture(): Promise<LinkFixture> {
   const server = createServer();
   const port = await openListener(server, {host: '127.0.0.1', port: 0});
   const far = connect(port, '127.0.0.1');
@@ -59,10 +62,11 @@
   return new Promise(resolve => link.onClose(resolve));
 }
 
-describe('a json-rpc link', () => {
-  it('survives a connection that is reset', async () => {
-    // Guards against a reset that is raised on the line reader as well.
-    const {link, far, near, close} = await openPair();
+describe('JSON-RPC link', () => {
+  it('closes without an uncaught error when its connection is reset', async () => {
+    // Guards against an uncaught error: the line reader emits the error of its
+    // socket again.
+    const {link, far, near, close} = await openLinkFixture();
     const closed = waitForClose(link);
     near.emit('error', new Error('read ECONNRESET'));
     far.resetAndDestroy();
@@ -71,10 +75,11 @@
     close();
   });
 
-  it('closes on JSON that is no message of the protocol', async () => {
-    // Guards against JSON lines of another protocol, which ended the process.
+  it('closes when it receives a line that is not a JSON-RPC message', async () => {
+    // Guards against lines of another protocol ending the process by an uncaught
+    // error.
     for (const line of ['{"a":1}', '7', 'null', '"x"', '{{']) {
-      const {link, far, close} = await openPair();
+      const {link, far, close} = await openLinkFixture();
       const closed = waitForClose(link);
       far.write(`${line}\n`);
       await closed;
@@ -83,11 +88,12 @@
     }
   });
 
-  it('closes on a message whose method is no name', async () => {
-    // Guards against a method that has no text, which ended the process.
+  it('closes when it receives a message whose method is not a string', async () => {
+    // Guards against a method without a string form ending the process by an
+    // uncaught error.
     const bad = {jsonrpc: '2.0', method: {toString: 1}, id: 1};
     for (const message of [bad, {...bad, id: undefined}, {method: 7}]) {
-      const {link, far, close} = await openPair();
+      const {link, far, close} = await openLinkFixture();
       const closed = waitForClose(link);
       far.write(`${JSON.stringify(message)}\n`);
       await closed;
@@ -96,13 +102,13 @@
     }
   });
 
-  it('raises nothing whatever moment errors come in', async () => {
-    const moment = fc.constantFrom('call', 'error', 'reset', 'close', 'notify');
+  it('closes without an uncaught error after any sequence of calls, notifications, errors, resets and closes (property)', async () => {
+    const step = fc.constantFrom('call', 'error', 'reset', 'close', 'notify');
     await fc.assert(
-      fc.asyncProperty(fc.array(moment, {maxLength: 8}), async moments => {
-        const {link, far, near, close} = await openPair();
+      fc.asyncProperty(fc.array(step, {maxLength: 8}), async steps => {
+        const {link, far, near, close} = await openLinkFixture();
         const calls: Array<Promise<unknown>> = [];
-        for (const next of moments) {
+        for (const next of steps) {
           if (next === 'call')
             calls.push(link.call('x', {}, 50).catch(() => undefined));
           if (next === 'notify') link.notify('x', {});
@@ -118,7 +124,7 @@
     );
   });
 
-  it('refuses the connection where nobody listens', async () => {
+  it('rejects the opening of a link to a port without a listener', async () => {
     const server = createServer();
     const port = await openListener(server, {host: '127.0.0.1', port: 0});
     await new Promise(resolve => server.close(resolve));
@@ -126,23 +132,23 @@
     await expect(opening).toBeRejected();
   });
 
-  it('tells a refusal by its code, and a fault by none', async () => {
-    const {link, far, close} = await openPair();
+  it('returns the error code that a handler answered with, and not that code for other errors', async () => {
+    const {link, far, close} = await openLinkFixture();
     link.handle('full', () => {
-      throw createRpcRefusal(7, 'no place');
+      throw createRpcRefusal(7, 'no capacity left');
     });
-    const asker = createRpcLink(far);
-    const refused = await asker.call('full', {}).catch(error => error);
-    const unknown = await asker.call('other', {}, 1000).catch(error => error);
+    const farLink = createRpcLink(far);
+    const refused = await farLink.call('full', {}).catch(error => error);
+    const unknown = await farLink.call('other', {}, 1000).catch(error => error);
     expect(findRefusalCode(refused)).toEqual(7);
     expect(findRefusalCode(unknown)).not.toEqual(7);
     expect(findRefusalCode(new Error('x'))).toEqual(undefined);
     close();
   });
 
-  it('closes when the far end has gone silent', async () => {
-    // Guards against a frozen peer that keeps its link for good.
-    const {link, close} = await openPair();
+  it('closes and fails outstanding calls when the peer sends nothing during the idle timeout', async () => {
+    // Guards against a suspended peer whose link stays open forever.
+    const {link, close} = await openLinkFixture();
     const closed = waitForClose(link);
     const call = link.call('x', {}).catch((error: Error) => error.name);
     link.closeWhenIdle(20);
@@ -151,14 +157,14 @@
     close();
   });
 
-  it('gives up a connection that is not taken in time', async () => {
-    // Guards against a connection attempt that takes as long as the system's
-    // timeout.
-    const worker = new Worker(DEAF_LISTENER, {eval: true});
+  it('rejects the opening of a link that does not connect within the timeout', async () => {
+    // Guards against a connection attempt that lasts until the system's timeout
+    // when the peer does not accept.
+    const worker = new Worker(NON_ACCEPTING_LISTENER, {eval: true});
     const [port] = (await once(worker, 'message')) as [number];
     const opened: RpcLink[] = [];
     const openOne = () => openRpcLink(`127.0.0.1:${port}`, undefined, 200);
-    // The system queues a few connections before it drops one.
+    // The system accepts a few connections into the backlog before it drops one.
     const attempts = Array.from({length: 12}, () =>
       openOne().then(
         link => void opened.push(link),
@@ -173,8 +179,8 @@
     await worker.terminate();
   });
 
-  it('stays open once connected, however long it is idle', async () => {
-    // Guards against a connection timeout that goes on as an idle timeout.
+  it('stays open when idle for longer than its connect timeout', async () => {
+    // Guards against a connect timeout that stays active as an idle timeout.
     const server = createServer(socket => socket.on('error', () => undefined));
     const port = await openListener(server, {host: '127.0.0.1', port: 0});
     const link = await openRpcLink(`127.0.0.1:${port}`, undefined, 100);
--- a/packages/core/src/rpc.ts
+++ b/packages/core/src/rpc.ts
@@ -1,6 +1,6 @@
 /**
- * A json-rpc 2.0 link over one TCP socket, one JSON message a line. The link
- * owns its socket: calls, notifications and the close are its only surface.
+ * JSON-RPC 2.0 links. A link runs over one TCP socket, with one JSON message per
+ * line, and owns the socket: other code only calls, notifies and closes the link.
  */
 import {connect} from 'node:net';
 import {createInterface} from 'node:readline';
@@ -14,11 +14,11 @@
 import type {Socket} from 'node:net';
 import type {Counters} from './metrics.js';
 
-/** Handler of a method or a notification; params arrive as sent. */
+/** Handler of a method or notification; receives the params unvalidated. */
 export type RpcHandler = (params: unknown) => unknown;
 
 /**
- * One end of a json-rpc link.
+ * One end of a JSON-RPC link.
  *
  * @example
  * const link = createRpcLink(socket);
@@ -35,13 +35,13 @@
     private readonly counters?: Counters,
   ) {
     this.peer = new JSONRPCServerAndClient(
-      new JSONRPCServer({errorListener: warnOfFault}),
+      new JSONRPCServer({errorListener: warnUnexpectedError}),
       new JSONRPCClient(message => this.send(message)),
     );
     socket.setNoDelay(true);
     const lines = createInterface({input: socket, crlfDelay: Infinity});
     lines.on('line', line => this.receive(line));
-    // The line reader raises the socket's error once more on itself.
+    // The line reader emits the error of its socket again on itself.
     lines.on('error', () => socket.destroy());
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.markClosed());
@@ -60,10 +60,10 @@
   /**
    * Calls `method` and resolves with its result.
    *
-   * @param timeoutMs - Fails the call with RpcFailedError when no answer
-   *   comes in time; absent means wait until the link closes.
-   * @throws RpcClosedError when the link closes first; RpcFailedError when
-   *   the peer answers with an error or the timeout passes.
+   * @param timeoutMs - Longest wait for the answer, in ms; when absent, the call
+   *   waits until the link closes.
+   * @throws RpcClosedError when the link closes before the answer;
+   *   RpcFailedError when the peer answers with an error or the timeout expires.
    */
   async call<T>(
     method: string,
@@ -73,7 +73,7 @@
     if (this.closed) {
       throw new RpcClosedError(
         {info: {method}},
-        `link closed before ${method}`,
+        `JSON-RPC link closed before the call of ${method}`,
       );
     }
     try {
@@ -90,23 +90,26 @@
       if (this.closed) {
         throw new RpcClosedError(
           {cause: cause as Error, info: {method}},
-          `link closed during ${method}`,
+          `JSON-RPC link closed during the call of ${method}`,
         );
       }
       throw new RpcFailedError(
         {cause: cause as Error, info: {method}},
-        `${method} failed`,
+        `JSON-RPC call of ${method} failed`,
       );
     }
   }
 
-  /** Sends a notification; dropped silently when the link is closed. */
+  /** Sends a notification; does nothing when the link is closed. */
   notify(method: string, params: object): void {
     if (this.closed) return;
     this.peer.notify(method, params as Record<string, unknown>, undefined);
   }
 
-  /** Registers a listener run once when the link closes. */
+  /**
+   * Registers a listener that runs once when the link closes, or at once when the
+   * link is already closed.
+   */
   onClose(listener: () => void): void {
     if (this.closed) {
       listener();
@@ -116,8 +119,8 @@
   }
 
   /**
-   * Closes the link after this idle time, in ms: a peer that is frozen or cut
-   * off keeps its connection open.
+   * Closes the link after it has been idle for `idleMs`, in ms. A peer that is
+   * suspended or unreachable does not close its connection.
    */
   closeWhenIdle(idleMs: number): void {
     this.socket.setTimeout(idleMs, () => this.close());
@@ -140,42 +143,49 @@
     try {
       message = JSON.parse(line);
     } catch {
-      // The peer speaks another protocol.
+      // Invalid JSON: the peer uses another protocol.
       this.close();
       return;
     }
-    // Only a text can be counted as a method.
-    if (!isNamed(message)) return this.close();
+    // Bytes are counted by method name, so the method must be a string.
+    if (!isMethodValid(message)) return this.close();
     this.countBytes('in', message, line.length + 1);
-    // The peer speaks another protocol.
+    // Rejects for JSON that is not JSON-RPC: the peer uses another protocol.
     this.peer
       .receiveAndSend(message, undefined, undefined)
       .catch(() => this.close());
   }
 
-  /** Bytes by method; answers to calls carry none and count as `result`. */
-  private countBytes(way: 'in' | 'out', message: unknown, bytes: number): void {
+  /**
+   * Counts bytes and messages by method; responses name no method and count as
+   * `result`.
+   */
+  private countBytes(
+    direction: 'in' | 'out',
+    message: unknown,
+    bytes: number,
+  ): void {
     const method = (message as {method?: string} | null)?.method ?? 'result';
-    this.counters?.add(`rpc.${way}.${method}.bytes`, bytes);
-    this.counters?.add(`rpc.${way}.${method}.messages`);
+    this.counters?.add(`rpc.${direction}.${method}.bytes`, bytes);
+    this.counters?.add(`rpc.${direction}.${method}.messages`);
   }
 
   private markClosed(): void {
     if (this.closed) return;
     this.closed = true;
-    this.peer.rejectAllPendingRequests('link closed');
+    this.peer.rejectAllPendingRequests('JSON-RPC link closed');
     for (const listener of this.closeListeners.splice(0)) listener();
   }
 }
 
-/** True for answers as well, which name no method. */
-function isNamed(message: unknown): boolean {
+/** Returns whether the method is a string or, as in responses, absent. */
+function isMethodValid(message: unknown): boolean {
   const method = (message as {method?: unknown} | null)?.method;
   return method === undefined || typeof method === 'string';
 }
 
 /**
- * Creates an error that answers a call with a code.
+ * Creates an error that a handler throws to answer a call with an error code.
  *
  * @example
  * throw createRpcRefusal(1, 'busy');
@@ -185,7 +195,8 @@
 }
 
 /**
- * Finds the code with which the peer refused a call.
+ * Returns the error code with which the peer answered a call; undefined for any
+ * other error.
  *
  * @example
  * link.call('take', {}).catch(error => findRefusalCode(error) === 1);
@@ -196,15 +207,15 @@
   return cause instanceof JSONRPCErrorException ? cause.code : undefined;
 }
 
-function warnOfFault(message: string, error: unknown): void {
+/** Logs handler errors, except those that answer a call with an error code. */
+function warnUnexpectedError(message: string, error: unknown): void {
   if (!(error instanceof JSONRPCErrorException)) console.warn(message, error);
 }
 
 /**
- * Wraps a connected socket in a json-rpc link.
- *
- * @param counters - Takes `rpc.*` figures, bytes and messages by method.
+ * Creates a JSON-RPC link over a socket.
  *
+ * @param counters - Receives the `rpc.*` counters of bytes and messages by method.
  * @example
  * const link = createRpcLink(net.connect(7001, '127.0.0.1'));
  */
@@ -213,13 +224,13 @@
 }
 
 /**
- * Connects to a json-rpc listener.
+ * Connects to a JSON-RPC listener.
  *
- * @param address - Where it listens, `host:port`.
- * @param timeoutMs - Longest time for the connection; absent waits for the
- *   system, which takes minutes for a host that is cut off.
- * @throws The system's error (ECONNREFUSED, EHOSTUNREACH) when it cannot;
- *   RpcFailedError when the timeout passes.
+ * @param address - Address of the listener, `host:port`.
+ * @param timeoutMs - Longest time to connect, in ms. When absent, the system's
+ *   timeout applies, which is minutes for an unreachable host.
+ * @throws The system's error (ECONNREFUSED, EHOSTUNREACH) when the connection
+ *   fails; RpcFailedError when the timeout expires.
  * @example
  * const link = await openRpcLink('10.0.1.5:7101', counters);
  */
@@ -231,14 +242,14 @@
   const [host, port] = address.split(':');
   return new Promise((resolve, reject) => {
     const socket = connect(Number(port), host);
-    // Stays registered for later errors; a socket that connects after all is
-    // closed.
+    // The error handler stays registered for later errors, and closes a socket
+    // that still connects after an error.
     socket.on('error', error => {
       socket.destroy();
       reject(error);
     });
     socket.setTimeout(timeoutMs, () => {
-      const message = `no connection to ${address} in time`;
+      const message = `connection to ${address} timed out`;
       reject(new RpcFailedError({info: {address}}, message));
       socket.destroy();
     });
--- a/packages/core/src/settings-text.ts
+++ b/packages/core/src/settings-text.ts
@@ -1,14 +1,14 @@
 /**
- * What settings files of every format share: reading the text and naming the
- * keys that are bad. Apart from the YAML parser, which a program with settings
- * of another format does not load.
+ * Helpers for settings files of any format: reading the text and describing
+ * invalid keys. Kept separate from the YAML parser, so that programs with
+ * settings in another format do not load it.
  */
 import {readFileSync} from 'node:fs';
 import {SettingsError} from './errors.js';
 import type {z} from 'zod';
 
 /**
- * Formats zod issues as `key.path: message` lines.
+ * Formats zod issues as `key.path: message`, separated by semicolons.
  *
  * @example
  * describeIssues(result.error.issues); // 'listen.port: Expected number'
--- a/packages/core/src/settings.ts
+++ b/packages/core/src/settings.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a YAML settings file and checks it against a zod schema. A bad file
- * fails with a SettingsError naming the file and every bad key.
+ * Loading of YAML settings files with validation against a zod schema. An
+ * invalid file raises a SettingsError that names the file and every invalid key.
  */
 import {parse as parseYaml} from 'yaml';
 import {SettingsError} from './errors.js';
@@ -8,10 +8,10 @@
 import type {z} from 'zod';
 
 /**
- * Parses YAML text and validates it.
+ * Parses YAML text and validates it against a schema.
  *
- * @param source - Where the text came from, for the error message.
- * @throws SettingsError when the YAML does not parse or a key is bad.
+ * @param source - Origin of the text, such as its path, for the error message.
+ * @throws SettingsError when the text is not valid YAML or a key is invalid.
  * @example
  * const settings = parseSettings(GateSettingsSchema, 'id: gate-1\n...', 'inline');
  */
@@ -43,7 +43,8 @@
 /**
  * Reads and validates a YAML settings file.
  *
- * @throws SettingsError when the file is missing, not YAML, or a key is bad.
+ * @throws SettingsError when the file cannot be read, is not valid YAML, or a key
+ *   is invalid.
  * @example
  * const settings = loadSettings(AgentSettingsSchema, 'agent.yaml');
  */
--- a/packages/core/src/sse.ts
+++ b/packages/core/src/sse.ts
@@ -1,16 +1,17 @@
 /**
- * Reading of server-sent events, used by the agent towards its engine and by
- * the load tool towards a gate.
+ * Parser for server-sent events (SSE). The agent uses it to read from its
+ * engine, the load generator to read from a gate.
  */
 
-/** One parsed event. */
+/** One parsed server-sent event. */
 export interface SseEvent {
   readonly event: string;
   readonly data: string;
 }
 
 /**
- * Splits complete events off the front of `buffer`.
+ * Parses the complete events at the start of `buffer`; `rest` is the text after
+ * them.
  *
  * @example
  * parseSseEvents('data: 1\n\nda'); // {events: [{event: 'message', data: '1'}], rest: 'da'}
@@ -35,16 +36,16 @@
 }
 
 /**
- * Reads a byte stream as events, one at a time.
+ * Reads a byte stream and yields its events one at a time.
  *
- * @throws Whatever `body` throws when it breaks.
+ * @throws The error of `body` when the stream fails.
  * @example
  * for await (const event of readSseEvents(response.body)) handle(event);
  */
 export async function* readSseEvents(
   body: AsyncIterable<Buffer>,
 ): AsyncGenerator<SseEvent> {
-  // A multi-byte character may be split over two parts of the body.
+  // A multi-byte character may be split across two parts of the body.
   const decoder = new TextDecoder();
   let buffer = '';
   for await (const part of body) {
--- a/packages/core/src/tokens.ts
+++ b/packages/core/src/tokens.ts
@@ -1,20 +1,20 @@
 /**
- * Token counting shared by gate, agent and stand-ins. The stand-in engines
- * count characters, so every process agrees on a prompt's length without a
- * tokenizer.
+ * Token counting shared by the gate, the agent and the stand-ins (simulated
+ * engines and services). Stand-in engines derive token counts from characters,
+ * so all processes agree on the length of a prompt without a tokenizer.
  */
 
-/** Characters counted as one token. */
+/** Number of characters that count as one token. */
 export const CHARS_PER_TOKEN = 4;
 
 /**
- * Prompts up to this many tokens are short: they run in the agents' short
- * lane, ahead of long prompts.
+ * Longest prompt, in tokens, that counts as short. Agents run short prompts in a
+ * separate lane, ahead of long ones.
  */
 export const SHORT_MAX_TOKENS = 32_768;
 
 /**
- * Counts the tokens of a prompt.
+ * Returns the number of tokens in a prompt, rounded up.
  *
  * @example
  * countTokens('x'.repeat(4000)); // 1000
