--- a/packages/core/src/errors.ts
+++ b/packages/core/src/errors.ts
@@ -39,7 +39,7 @@
   override name = 'SettingsError';
 }
 
-/** A configuration record that is invalid or has an unknown schema version. */
+/** A configuration record that is invalid or has an unsupported schema version. */
 export class ConfigRecordError extends NutmeggaugeError {
   readonly code = 'config_record_invalid';
   override name = 'ConfigRecordError';
--- a/packages/core/src/listen.test.ts
+++ b/packages/core/src/listen.test.ts
@@ -12,7 +12,7 @@
 
 const REQUEST = 'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n';
 
-/** Blocks the thread: like in a suspended process, no I/O and no timers run. */
+/** Blocks the thread, so that no I/O and no timers run, as in a suspended process. */
 function freezeProcess(): void {
   Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, SUSPENSION_MS);
 }
--- a/packages/core/src/rpc.ts
+++ b/packages/core/src/rpc.ts
@@ -242,8 +242,8 @@
   const [host, port] = address.split(':');
   return new Promise((resolve, reject) => {
     const socket = connect(Number(port), host);
-    // The error handler stays registered for later errors, and closes a socket
-    // that still connects after an error.
+    // The error handler stays registered for later errors. It destroys the socket,
+    // which could otherwise still connect after the promise is rejected.
     socket.on('error', error => {
       socket.destroy();
       reject(error);
