--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,7 +1,7 @@
 /**
- * The agent: the one small process in a target host's slot. It owns the
- * json-rpc listener that gates connect to and wires the slices together:
- * intake, lanes, ledger, load reports, orders and the configuration watch.
+ * The agent process that runs beside one target. The agent owns the JSON-RPC
+ * listener that gates connect to, and connects dispatch handling, lanes,
+ * ledger, load reports, engine orders and the configuration watch.
  */
 import {createServer} from 'node:net';
 import {
@@ -34,17 +34,20 @@
 } from '@nutmeggauge/core';
 import type {AgentSettings} from './settings.js';
 
-/** Sections of the configuration record that an agent reads. */
+/** Sections of the configuration record that the agent reads. */
 const AGENT_SECTIONS = ['pools'];
 
-/** How often a drain looks whether the last request has ended, in ms. */
+/** Interval at which a drain checks for remaining requests, in ms. */
 const DRAIN_POLL_MS = 20;
 
-/** What a drain may take past its own bound, in ms: a busy host's timers. */
+/**
+ * Time that a drain may take beyond `drainTimeoutMs`, in ms, because timers
+ * fire late on a busy host.
+ */
 const DRAIN_SLACK_MS = 2000;
 
 /**
- * One agent process's state and tasks.
+ * State and background tasks of one agent.
  *
  * @example
  * const agent = createAgent(settings);
@@ -58,7 +61,7 @@
   private readonly server = createServer(socket =>
     this.accept(createRpcLink(socket, this.counters)),
   );
-  private readonly intake: Intake;
+  private readonly dispatchHandler: Intake;
   private readonly ownership;
   private readonly reporter: LoadReporter;
   private readonly watcher: ConfigWatcher | undefined;
@@ -73,7 +76,7 @@
       retainMs: ledger.retainMs,
     });
     this.watcher = this.createWatcher();
-    this.intake = new Intake({
+    this.dispatchHandler = new Intake({
       target:
         target.kind === 'engine'
           ? new EngineTarget(target.url, lanes.prioritize)
@@ -94,12 +97,12 @@
     this.orders = this.createOrders();
   }
 
-  /** The bound port, once started. */
+  /** Port that the listener is bound to; valid after `start`. */
   get port(): number {
     return readPort(this.server);
   }
 
-  /** Opens the listener and starts the tasks. */
+  /** Opens the listener and starts the background tasks. */
   async start(): Promise<void> {
     await openListener(this.server, this.settings.listen);
     this.reporter.start();
@@ -113,32 +116,33 @@
   }
 
   /**
-   * Drains: refuses new work as "not run", tells every gate at once, waits
-   * for requests in flight (at most `drainTimeoutMs`), then closes.
+   * Refuses new requests as "not run", reports the drain to every gate at
+   * once, waits at most `drainTimeoutMs` for the requests in flight, then
+   * closes the agent. Repeated calls return the same promise.
    */
   drain(): Promise<void> {
     this.draining ??= this.runDrain();
     return this.draining;
   }
 
-  /** Longest time that a drain takes, in ms. */
+  /** Upper bound of the duration of `drain`, in ms. */
   get drainLimitMs(): number {
     return this.settings.drainTimeoutMs + DRAIN_SLACK_MS;
   }
 
   private async runDrain(): Promise<void> {
-    this.intake.drain();
-    this.log.info('drain_started', {inFlight: this.intake.size});
+    this.dispatchHandler.drain();
+    this.log.info('drain_started', {inFlight: this.dispatchHandler.size});
     this.reporter.broadcast();
     this.server.close();
-    const giveUpAt = Date.now() + this.settings.drainTimeoutMs;
-    while (this.intake.size > 0 && Date.now() < giveUpAt)
+    const drainDeadlineAt = Date.now() + this.settings.drainTimeoutMs;
+    while (this.dispatchHandler.size > 0 && Date.now() < drainDeadlineAt)
       await waitMs(DRAIN_POLL_MS);
-    this.log.info('drain_finished', {left: this.intake.size});
+    this.log.info('drain_finished', {left: this.dispatchHandler.size});
     this.close();
   }
 
-  /** Closes the listener and every link at once. */
+  /** Stops the background tasks and closes the listener and every link. */
   close(): void {
     this.reporter.stop();
     this.watcher?.stop();
@@ -186,14 +190,14 @@
       this.dispatch(params as DispatchRequest, link),
     );
     link.handle(RpcMethod.cancel, params =>
-      this.intake.cancel((params as CancelNotice).requestId),
+      this.dispatchHandler.cancel((params as CancelNotice).requestId),
     );
-    // A gate hands its record over when this agent stays behind it.
+    // A gate sends its record when this agent's record stays older.
     link.handle(RpcMethod.record, params => this.watcher?.offer(params));
     link.onClose(() => {
       this.links.delete(link);
       this.reporter.dropLink(link);
-      this.intake.cancelOwned(link);
+      this.dispatchHandler.cancelOwned(link);
     });
     this.reporter.addLink(link);
   }
@@ -204,16 +208,16 @@
   ): Promise<DispatchOutcome> {
     link.notify(RpcMethod.accepted, {requestId: request.requestId});
     this.reporter.markDispatch(link);
-    return this.intake.dispatch(request, link, notice =>
+    return this.dispatchHandler.dispatch(request, link, notice =>
       link.notify(RpcMethod.chunk, notice),
     );
   }
 
   private readLoad(): LoadReport {
     return {
-      draining: this.intake.isDraining,
+      draining: this.dispatchHandler.isDraining,
       recordVersion: this.watcher?.version,
-      ...this.intake.readWork(),
+      ...this.dispatchHandler.readWorkStats(),
     };
   }
 }
--- a/packages/agent/src/bin.ts
+++ b/packages/agent/src/bin.ts
@@ -1,7 +1,8 @@
 #!/usr/bin/env node
 /**
- * `nutmeggauge-agent --config agent.yaml`: runs the agent beside one target.
- * SIGTERM drains (no new work, requests in flight finish) and exits 0.
+ * Entry point of `nutmeggauge-agent --config agent.yaml`: runs the agent of
+ * one target. On SIGTERM the agent refuses new requests, waits for the requests
+ * in flight and exits with code 0.
  */
 import {runDaemon} from '@nutmeggauge/core';
 import {createAgent} from './agent.js';
--- a/packages/agent/src/intake/chunk-receiver.ts
+++ b/packages/agent/src/intake/chunk-receiver.ts
@@ -1,5 +1,4 @@
-/** Where the pieces of an answer go. */
 import type {ChunkNotice} from '@nutmeggauge/core';
 
-/** Receives the chunks of one request. */
+/** Callback that receives each chunk of one request's answer. */
 export type ChunkReceiver = (notice: ChunkNotice) => void;
--- a/packages/agent/src/intake/copies.ts
+++ b/packages/agent/src/intake/copies.ts
@@ -1,6 +1,6 @@
 /**
- * Answers to copies of a request that its agent has taken on: the outcome of the
- * first run, waited for while time remains.
+ * Answers duplicates of a request with the outcome of its first run at this
+ * agent, and waits for that outcome until the duplicate's deadline.
  */
 import type {
   Counters,
@@ -11,16 +11,19 @@
 import type {ChunkReceiver} from './chunk-receiver.js';
 
 /**
- * Copies of requests at one agent.
+ * Duplicates of requests at one agent.
  *
  * @example
- * const copies = new Copies(ledger, counters);
- * copies.add('a:k1', running);
- * await copies.serve('a:k1', held, request, receive);
+ * const duplicates = new DuplicateRequests(ledger, counters);
+ * duplicates.add('a:k1', running);
+ * await duplicates.serve('a:k1', held, request, receive);
  */
-export class Copies {
-  /** Outcomes on their way, by ledger key. */
-  private readonly pending = new Map<string, Promise<DispatchOutcome>>();
+export class DuplicateRequests {
+  /** Outcomes of runs in progress, by ledger key. */
+  private readonly pendingOutcomes = new Map<
+    string,
+    Promise<DispatchOutcome>
+  >();
 
   constructor(
     private readonly ledger: Ledger,
@@ -28,19 +31,19 @@
   ) {}
 
   /**
-   * Lets copies wait for a first run.
+   * Adds a first run whose outcome duplicates can wait for.
    *
-   * @param running - Never rejects.
+   * @param running - Outcome of the run; must never reject.
    */
   add(
     key: string,
     running: Promise<DispatchOutcome>,
   ): Promise<DispatchOutcome> {
-    this.pending.set(key, running);
-    return running.finally(() => this.pending.delete(key));
+    this.pendingOutcomes.set(key, running);
+    return running.finally(() => this.pendingOutcomes.delete(key));
   }
 
-  /** Answers a copy with the outcome of the first run. */
+  /** Answers a duplicate with the outcome of the first run. */
   async serve(
     key: string,
     held: LedgerEntry,
@@ -49,7 +52,7 @@
   ): Promise<DispatchOutcome> {
     this.counters.add('agent.ledger_hits');
     if (held.state === 'settled') return replay(held, request, receive);
-    const outcome = await this.waitForFirst(key, request.deadlineAt);
+    const outcome = await this.waitForFirstRun(key, request.deadlineAt);
     if (outcome === undefined)
       return {status: 'unknown', reason: 'duplicate_in_progress'};
     const settled = this.ledger.find(key);
@@ -57,18 +60,18 @@
     return outcome;
   }
 
-  private waitForFirst(
+  private waitForFirstRun(
     key: string,
     deadlineAt: number,
   ): Promise<DispatchOutcome | undefined> {
-    const first = this.pending.get(key);
-    if (first === undefined) return Promise.resolve(undefined);
+    const firstRun = this.pendingOutcomes.get(key);
+    if (firstRun === undefined) return Promise.resolve(undefined);
     return new Promise(resolve => {
       const timer = setTimeout(
         () => resolve(undefined),
         Math.max(0, deadlineAt - Date.now()),
       );
-      void first.then(outcome => {
+      void firstRun.then(outcome => {
         clearTimeout(timer);
         resolve(outcome);
       });
@@ -82,10 +85,10 @@
   receive: ChunkReceiver,
 ): DispatchOutcome {
   if (entry.outcome.status !== 'done') return entry.outcome;
-  // "done" without the text would look like an empty answer.
-  if (entry.pieces === undefined)
+  // A "done" outcome without chunks would look like an empty answer.
+  if (entry.chunkTexts === undefined)
     return {status: 'unknown', reason: 'ran_answer_not_kept'};
-  entry.pieces.forEach((text, seq) =>
+  entry.chunkTexts.forEach((text, seq) =>
     receive({requestId: request.requestId, seq, text}),
   );
   return entry.outcome;
--- a/packages/agent/src/intake/intake.test.ts
+++ b/packages/agent/src/intake/intake.test.ts
@@ -11,10 +11,10 @@
 
 const DONE = {status: 'done', chunks: 0, tokens: 0, cachedTokens: 0} as const;
 
-/** A target whose runs end when the test says so. */
-class HeldTarget extends TargetClient {
+/** A target whose runs end only when the test finishes them. */
+class ManualTarget extends TargetClient {
   readonly runs: string[] = [];
-  private readonly ends: Array<(outcome: DispatchOutcome) => void> = [];
+  private readonly resolvers: Array<(outcome: DispatchOutcome) => void> = [];
 
   constructor() {
     super('held');
@@ -22,19 +22,19 @@
 
   run(request: DispatchRequest): Promise<DispatchOutcome> {
     this.runs.push(request.requestId);
-    return new Promise(resolve => this.ends.push(resolve));
+    return new Promise(resolve => this.resolvers.push(resolve));
   }
 
-  async endOldest(): Promise<void> {
-    // The request reaches the target a few microtasks after its dispatch.
+  async finishOldestRun(): Promise<void> {
+    // A dispatched request reaches the target a few microtasks later.
     await waitImmediate();
-    this.ends.shift()?.(DONE);
+    this.resolvers.shift()?.(DONE);
   }
 }
 
-function createIntake(recordVersion = 1) {
-  const target = new HeldTarget();
-  const intake = new Intake({
+function createTestHandler(recordVersion = 1) {
+  const target = new ManualTarget();
+  const handler = new Intake({
     target,
     lanes: createLanes({short: 1, long: 1}),
     ledger: createLedger(),
@@ -48,8 +48,8 @@
     readRecordVersion: () => recordVersion,
     onWorkChange: () => {},
   });
-  const send = (requestId: string, more: Partial<DispatchRequest> = {}) =>
-    intake.dispatch(
+  const send = (requestId: string, overrides: Partial<DispatchRequest> = {}) =>
+    handler.dispatch(
       {
         requestId,
         account: 'a',
@@ -62,20 +62,21 @@
         keyMintedAt: Date.now(),
         recordVersion: 1,
         attempt: 1,
-        ...more,
+        ...overrides,
       },
       send,
       () => {},
     );
-  return {intake, target, send};
+  return {handler, target, send};
 }
 
-describe('intake', () => {
-  it('runs one of two copies that arrive together', async () => {
-    // Guards against a double run of two copies that arrive at the same time.
-    const {target, send} = createIntake();
+describe('dispatch handling by the agent', () => {
+  it('runs only one of two duplicate requests that arrive together and answers both', async () => {
+    // Guards against two runs of one key when the second duplicate arrives
+    // before the first has claimed the key.
+    const {target, send} = createTestHandler();
     const both = Promise.all([send('r1'), send('r2')]);
-    await target.endOldest();
+    await target.finishOldestRun();
     expect((await both).map(outcome => outcome.status)).toEqual([
       'done',
       'done',
@@ -83,14 +84,18 @@
     expect(target.runs).toEqual(['r1']);
   });
 
-  it('does not run a queued request whose caller has left', async () => {
-    // Guards against a queued request that runs after its caller has left.
-    const {intake, target, send} = createIntake();
-    const free = {notRepeatable: false, ledgerKey: undefined, keyed: false};
-    const first = send('r1', free);
-    const queued = send('r2', free);
-    intake.cancel('r2');
-    await target.endOldest();
+  it('answers a queued request as not run, without running it, when it is cancelled', async () => {
+    // Guards against a queued request that still runs after its cancellation.
+    const {handler, target, send} = createTestHandler();
+    const repeatable = {
+      notRepeatable: false,
+      ledgerKey: undefined,
+      keyed: false,
+    };
+    const first = send('r1', repeatable);
+    const queued = send('r2', repeatable);
+    handler.cancel('r2');
+    await target.finishOldestRun();
     await first;
     expect(await queued).toEqual({
       status: 'not-run',
@@ -100,9 +105,10 @@
     expect(target.runs).toEqual(['r1']);
   });
 
-  it('refuses a keyed request from a gate whose record is newer', async () => {
-    // Guards against running a key before the agent knows that it is its home.
-    const {target, send} = createIntake(1);
+  it('refuses a keyed request from a gate whose configuration record is newer', async () => {
+    // Guards against running a key whose home has moved to another target in
+    // the newer record.
+    const {target, send} = createTestHandler(1);
     const outcome = await send('r1', {recordVersion: 2});
     expect(outcome).toEqual({
       status: 'not-run',
@@ -112,10 +118,10 @@
     expect(target.runs).toEqual([]);
   });
 
-  it('answers a copy although the first run failed', async () => {
-    // Guards against a rejected promise of a waiting copy, which ended the
-    // agent.
-    const {intake, target, send} = createIntake();
+  it('answers a request and its duplicates as unknown when the first run throws', async () => {
+    // Guards against an unhandled rejection that ends the agent when a
+    // duplicate waits for a run that throws.
+    const {handler, target, send} = createTestHandler();
     target.run = async () => {
       await waitImmediate();
       throw new TypeError('x is undefined');
@@ -126,6 +132,6 @@
       'unknown',
     ]);
     expect((await send('r3')).status).toEqual('unknown');
-    expect(intake.size).toEqual(0);
+    expect(handler.size).toEqual(0);
   });
 });
--- a/packages/agent/src/intake/intake.ts
+++ b/packages/agent/src/intake/intake.ts
@@ -1,7 +1,7 @@
 /**
- * What the agent does with a dispatch: refuse it, answer it from the ledger,
- * or run it at the target in its lane. Holds no sockets, so that tests can
- * drive it through any order of events.
+ * Handles dispatched requests: refuses them, answers them from the ledger, or
+ * runs them at the target once their lane has a slot. The handler holds no
+ * sockets, so that tests can produce any order of events.
  */
 import {
   countTokens,
@@ -9,7 +9,7 @@
   findLengthClass,
 } from '@nutmeggauge/core';
 import {LEDGER_FULL} from '../ledger/ledger.js';
-import {Copies} from './copies.js';
+import {DuplicateRequests} from './copies.js';
 import type {
   Counters,
   DispatchOutcome,
@@ -21,23 +21,29 @@
 import type {ChunkReceiver} from './chunk-receiver.js';
 import type {TargetClient} from '../target/target.js';
 
-/** Parts that an intake works with. */
-export interface IntakeOptions {
+/** Components and callbacks of the dispatch handler. */
+export interface DispatchHandlerOptions {
   readonly target: TargetClient;
   readonly lanes: Lanes;
   readonly ledger: Ledger;
   readonly ownership: KeyOwnership;
   readonly counters: Counters;
-  /** Prompts up to this many tokens run in the short lane. */
+  /** Longest prompt that runs in the short lane, in tokens. */
   readonly shortMaxTokens: number;
-  /** Version of the record this agent holds; undefined when it reads none. */
+  /**
+   * Returns the version of this agent's configuration record, or undefined when
+   * the agent has none.
+   */
   readonly readRecordVersion: () => number | undefined;
-  /** Called when the work figures have changed much. */
+  /**
+   * Called when a request is added, produces its first token or ends, as each
+   * changes the load considerably.
+   */
   readonly onWorkChange: () => void;
 }
 
-/** Work of one agent, as its load report gives it. */
-export interface WorkFigures {
+/** Queued and pending work of one agent, as sent in its load report. */
+export interface WorkStats {
   readonly queued: number;
   readonly inFlight: number;
   readonly pendingByClass: readonly number[];
@@ -51,7 +57,7 @@
   readonly promptTokens: number;
   readonly maxTokens: number;
   started: boolean;
-  produced: number;
+  producedTokens: number;
 }
 
 const createNotRun = (
@@ -64,31 +70,31 @@
 });
 
 /**
- * The intake of one agent.
+ * Handler of the requests that gates dispatch to one agent.
  *
  * @example
- * const outcome = await intake.dispatch(request, link, notice => link.notify('chunk', notice));
+ * const outcome = await handler.dispatch(request, link, notice => link.notify('chunk', notice));
  */
 export class Intake {
   private readonly active = new Map<string, ActiveRequest>();
-  private readonly copies: Copies;
+  private readonly duplicates: DuplicateRequests;
   private draining = false;
 
-  constructor(private readonly options: IntakeOptions) {
-    this.copies = new Copies(options.ledger, options.counters);
+  constructor(private readonly options: DispatchHandlerOptions) {
+    this.duplicates = new DuplicateRequests(options.ledger, options.counters);
   }
 
-  /** True once `drain` was called. */
+  /** Whether `drain` has been called. */
   get isDraining(): boolean {
     return this.draining;
   }
 
-  /** Requests queued or at the target. */
+  /** Number of requests that are queued or in flight at the target. */
   get size(): number {
     return this.active.size;
   }
 
-  /** Refuses every new request from now on as "not run". */
+  /** Makes the handler refuse every new request as "not run". */
   drain(): void {
     this.draining = true;
   }
@@ -96,7 +102,8 @@
   /**
    * Runs or refuses one request; never throws.
    *
-   * @param owner - The link it came over; `cancelOwned` ends its streams.
+   * @param owner - Link that the request arrived on; `cancelOwned` cancels the
+   * requests of a closed link.
    */
   async dispatch(
     request: DispatchRequest,
@@ -109,8 +116,8 @@
   }
 
   /**
-   * Stops one request. A plain call that has started runs on: aborting it
-   * would not undo it, and its outcome answers the caller's retry.
+   * Cancels one request. A plain service call that has started runs on, because
+   * an abort would not undo the call, and a caller's retry needs its outcome.
    */
   cancel(requestId: string): void {
     const request = this.active.get(requestId);
@@ -121,8 +128,8 @@
   }
 
   /**
-   * Stops the requests of a gate that is gone, as it cannot deliver their
-   * answers.
+   * Cancels the requests that arrived on a closed link, because their answers
+   * can no longer be delivered.
    */
   cancelOwned(owner: object): void {
     for (const [requestId, request] of this.active) {
@@ -130,17 +137,20 @@
     }
   }
 
-  /** Figures for the load report. */
-  readWork(): WorkFigures {
-    const lanes = this.options.lanes.read();
+  /** Returns the queued and pending work for the load report. */
+  readWorkStats(): WorkStats {
+    const lanes = this.options.lanes.readStats();
     const pendingByClass = createClassCounts();
     let pendingDecodeTokens = 0;
     for (const request of this.active.values()) {
-      if (request.produced === 0) {
+      if (request.producedTokens === 0) {
         pendingByClass[findLengthClass(request.promptTokens)] +=
           request.promptTokens;
       }
-      pendingDecodeTokens += Math.max(0, request.maxTokens - request.produced);
+      pendingDecodeTokens += Math.max(
+        0,
+        request.maxTokens - request.producedTokens,
+      );
     }
     return {
       queued: lanes.queued,
@@ -160,7 +170,7 @@
     const key = request.notRepeatable ? request.ledgerKey : undefined;
     const held = key === undefined ? undefined : ledger.find(key);
     if (key !== undefined && held !== undefined)
-      return this.copies.serve(key, held, request, receive);
+      return this.duplicates.serve(key, held, request, receive);
     if (this.draining) return createNotRun('draining', 100);
     if (Date.now() >= request.deadlineAt)
       return createNotRun('deadline_passed');
@@ -169,17 +179,17 @@
       const refusal = this.checkOwnership(key, request);
       if (refusal !== undefined) return refusal;
     }
-    // No await between the look-up above and the claim: two copies could both
-    // find the key free.
+    // There must be no await between the lookup above and the claim: two
+    // duplicates could both find the key free.
     const claim = ledger.claim(key, request.requestId);
     if (claim === LEDGER_FULL) {
       counters.add('agent.ledger_full');
       return createNotRun('ledger_full', 5000);
     }
     if (claim !== undefined)
-      return this.copies.serve(key, claim, request, receive);
+      return this.duplicates.serve(key, claim, request, receive);
     const running = this.runClaimed(key, request, owner, receive);
-    return this.copies.add(key, running);
+    return this.duplicates.add(key, running);
   }
 
   private async runClaimed(
@@ -188,26 +198,27 @@
     owner: object,
     receive: ChunkReceiver,
   ): Promise<DispatchOutcome> {
-    const pieces: string[] = [];
+    const chunkTexts: string[] = [];
     let outcome: DispatchOutcome;
     try {
       outcome = await this.runInLane(request, owner, notice => {
-        pieces.push(notice.text);
+        chunkTexts.push(notice.text);
         receive(notice);
       });
     } catch {
-      // An error here leaves open whether it ran. Copies wait for this promise,
-      // so it must not reject.
+      // After an error the request may have run. Duplicates wait for the
+      // returned promise, so it must not reject.
       outcome = {status: 'unknown', reason: 'agent_failed'};
     }
     if (outcome.status === 'not-run') this.options.ledger.release(key);
-    else this.options.ledger.settle(key, outcome, pieces);
+    else this.options.ledger.settle(key, outcome, chunkTexts);
     return outcome;
   }
 
   /**
-   * Prevents a key from running at two homes: this agent may lack a change of
-   * the pool, or the history of the key.
+   * Checks that this target is the home of `key` and that the ledger is complete
+   * for it, which prevents runs of one key at two targets. Returns the refusal
+   * when the agent's record is older than the gate's or the check fails.
    */
   private checkOwnership(
     key: string,
@@ -243,12 +254,12 @@
       promptTokens,
       maxTokens: request.maxTokens ?? 0,
       started: false,
-      produced: 0,
+      producedTokens: 0,
     };
     this.active.set(request.requestId, active);
     this.options.onWorkChange();
-    // A gate that is frozen or cut off sends no cancel at the deadline.
-    const expiry = setTimeout(
+    // A suspended or disconnected gate sends no cancel at the deadline.
+    const deadlineTimer = setTimeout(
       () => this.cancel(request.requestId),
       Math.max(0, request.deadlineAt - Date.now()),
     );
@@ -261,7 +272,7 @@
         return await target.run(
           request,
           (seq, text) => {
-            if (active.produced++ === 0) this.options.onWorkChange();
+            if (active.producedTokens++ === 0) this.options.onWorkChange();
             receive({requestId: request.requestId, seq, text});
           },
           signal,
@@ -270,7 +281,7 @@
         lanes.leave(lane);
       }
     } finally {
-      clearTimeout(expiry);
+      clearTimeout(deadlineTimer);
       this.active.delete(request.requestId);
       this.options.onWorkChange();
     }
--- a/packages/agent/src/lanes/lanes.ts
+++ b/packages/agent/src/lanes/lanes.ts
@@ -1,26 +1,26 @@
 /**
- * Length-aware lanes in front of the target: short and long prompts queue
- * apart, each lane with its own slots, so a burst of long prompts cannot
- * take every slot from the short ones.
+ * Separate queues for short and long prompts in front of the target. Each lane
+ * has its own slots, so a burst of long prompts cannot take the slots of short
+ * prompts.
  */
-/** Lane that a request waits in for a slot at the target. */
+/** Queue in which a request waits for a slot at the target. */
 export type Lane = 'short' | 'long';
 
-/** Why a request left a lane without a slot. */
+/** Reason why a request left its lane's queue without a slot. */
 export type LaneRefusal = 'deadline_in_queue' | 'cancelled_in_queue';
 
 interface Waiter {
   readonly finish: (refusal: LaneRefusal | undefined) => void;
 }
 
-/** Queue figures of one lane. */
-export interface LaneFigures {
+/** Numbers of queued and in-flight requests, summed over all lanes. */
+export interface LaneStats {
   readonly queued: number;
   readonly inFlight: number;
 }
 
 /**
- * Two FIFO lanes with slot limits.
+ * Two FIFO lanes, each with a limit on requests in flight.
  *
  * @example
  * const lanes = createLanes({short: 48, long: 4});
@@ -33,9 +33,9 @@
   constructor(private readonly slots: Readonly<Record<Lane, number>>) {}
 
   /**
-   * Waits for a slot in `lane`. Resolves undefined once it has one, or with
-   * the reason when `deadlineAt` passes or `signal` aborts first; the request
-   * then never started and is answered "not run".
+   * Waits for a slot in `lane`. Resolves with undefined once the request has a
+   * slot, or with a reason when `deadlineAt` passes or `signal` aborts first.
+   * In the latter case the request has not started and is answered "not run".
    */
   enter(
     lane: Lane,
@@ -69,7 +69,7 @@
     });
   }
 
-  /** Frees a slot of `lane` and hands it to the oldest waiter. */
+  /** Frees a slot of `lane` and gives it to the longest-waiting request. */
   leave(lane: Lane): void {
     const next = this.waiting[lane].shift();
     if (next === undefined) {
@@ -79,8 +79,8 @@
     next.finish(undefined);
   }
 
-  /** Figures of both lanes together. */
-  read(): LaneFigures {
+  /** Returns the sums over both lanes. */
+  readStats(): LaneStats {
     return {
       queued: this.waiting.short.length + this.waiting.long.length,
       inFlight: this.inFlight.short + this.inFlight.long,
@@ -89,7 +89,7 @@
 }
 
 /**
- * Creates lanes with the given slots.
+ * Creates lanes with the given numbers of slots.
  *
  * @example
  * const lanes = createLanes({short: 48, long: 4});
--- a/packages/agent/src/ledger/ledger.test.ts
+++ b/packages/agent/src/ledger/ledger.test.ts
@@ -3,18 +3,18 @@
 import fc from 'fast-check';
 import {LEDGER_FULL, createLedger} from './ledger.js';
 
-// One seed, so that the suite gives the same verdict every time.
+// A fixed seed makes the property tests reproducible.
 fc.configureGlobal({seed: 20261202});
 
 describe('at-most-once ledger', () => {
-  it('holds a key once claimed, so a copy is not run', () => {
+  it('returns the started entry when a claimed key is claimed again', () => {
     const ledger = createLedger();
     expect(ledger.claim('a:order-1', 'r1')).toEqual(undefined);
     const held = ledger.claim('a:order-1', 'r2');
     expect(typeof held === 'object' && held.state).toEqual('started');
   });
 
-  it('answers a copy with the outcome of the first run once settled', () => {
+  it('returns the outcome of the first run when a settled key is claimed again', () => {
     const ledger = createLedger();
     ledger.claim('a:order-1', 'r1');
     ledger.settle('a:order-1', {
@@ -32,16 +32,16 @@
     ).toEqual('done');
   });
 
-  it('lets a copy run only after a provable not-run', () => {
+  it('grants a new claim on a key whose claim was released', () => {
     const ledger = createLedger();
     ledger.claim('k', 'r1');
     ledger.release('k');
     expect(ledger.claim('k', 'r2')).toEqual(undefined);
   });
 
-  it('refuses a new key when full rather than forget a settled one', () => {
-    // Guards against a ledger that drops an entry to make room, after which a
-    // retry runs twice.
+  it('refuses a new key when full and keeps its settled entries', () => {
+    // Guards against a full ledger that evicts an entry for a new key, so that
+    // a retry of the evicted request runs twice.
     const ledger = createLedger({maxEntries: 2});
     ledger.claim('renewal', 'r1', 0);
     ledger.settle('renewal', {
@@ -55,14 +55,14 @@
     expect(ledger.claim('renewal', 'r4', 3)).not.toEqual(undefined);
   });
 
-  it('forgets a key only after its retention', () => {
+  it('expires a key once its retention time has passed, and not before', () => {
     const ledger = createLedger({retainMs: 100});
     ledger.claim('k', 'r1', 0);
     expect(ledger.claim('k', 'r2', 99)).not.toEqual(undefined);
     expect(ledger.claim('k', 'r3', 100)).toEqual(undefined);
   });
 
-  it('never grants two claims on one key while the first is held (property)', () => {
+  it('grants at most one claim per key in any sequence of claims and settlements (property)', () => {
     fc.assert(
       fc.property(
         fc.array(
--- a/packages/agent/src/ledger/ledger.ts
+++ b/packages/agent/src/ledger/ledger.ts
@@ -1,11 +1,11 @@
 /**
- * The at-most-once ledger for requests that must not be repeated. An entry
- * is written before the request is handed to the target, so a second copy of
- * the same request (a caller's retry, a gate's retry) finds it and is not run.
+ * At-most-once ledger for requests that must not run twice. An entry is written
+ * before the request is sent to the target, so a duplicate of the request (a
+ * retry by the caller or by a gate) finds the entry and is not run.
  */
 import type {DispatchOutcome} from '@nutmeggauge/core';
 
-/** What the ledger knows of one key. */
+/** State of one idempotency key in the ledger. */
 export type LedgerEntry =
   | {
       readonly state: 'started';
@@ -17,25 +17,26 @@
       readonly requestId: string;
       readonly claimedAt: number;
       readonly outcome: DispatchOutcome;
-      /** Text of each chunk; undefined when it was too long to keep. */
-      readonly pieces: readonly string[] | undefined;
+      /** Text of each chunk; undefined when longer than MAX_REPLAY_CHARS. */
+      readonly chunkTexts: readonly string[] | undefined;
     };
 
-/** Longest streamed answer that the ledger keeps for a repeat, in characters. */
+/** Longest streamed answer that is kept for duplicates, in characters. */
 export const MAX_REPLAY_CHARS = 65_536;
 
-/** Answer of `claim` when the ledger holds `maxEntries` keys within their retention. */
+/** Result of `claim` when the ledger already holds `maxEntries` unexpired keys. */
 export const LEDGER_FULL = 'full';
 
-/** Options of the ledger. */
+/** Options of Ledger. */
 export interface LedgerOptions {
   /**
-   * How long an entry is kept, in ms.
+   * Time for which an entry is kept, in ms.
    * @default 900_000
    */
   readonly retainMs?: number;
   /**
-   * Most entries kept; past it new claims are refused, never old ones dropped.
+   * Most entries kept; further claims are refused, as dropping an unexpired
+   * entry could let its request run twice.
    * @default 50_000
    */
   readonly maxEntries?: number;
@@ -60,9 +61,10 @@
   }
 
   /**
-   * Claims `key` for `requestId`. Returns undefined when the claim is new,
-   * the entry that holds the key (the request must not run again), or
-   * LEDGER_FULL when no key can be taken in (the request must not run yet).
+   * Claims `key` for `requestId`. Returns undefined when the key was free, the
+   * existing entry when the key was claimed before (the request must not run
+   * again), or LEDGER_FULL when no key can be added (the request must not run
+   * yet).
    */
   claim(
     key: string,
@@ -72,8 +74,7 @@
     this.expire(now);
     const existing = this.entries.get(key);
     if (existing !== undefined) return existing;
-    // Dropping a live entry could let a late copy run twice, so a full ledger
-    // refuses.
+    // Without the entry of an unexpired key, a late duplicate could run again.
     if (this.entries.size >= this.maxEntries) return LEDGER_FULL;
     this.entries.set(key, {state: 'started', requestId, claimedAt: now});
     return undefined;
@@ -85,11 +86,11 @@
     return this.entries.get(key);
   }
 
-  /** Records the final outcome of a claimed key and the chunks it streamed. */
+  /** Records the final outcome of a claimed key and the streamed chunk texts. */
   settle(
     key: string,
     outcome: DispatchOutcome,
-    pieces: readonly string[] = [],
+    chunkTexts: readonly string[] = [],
   ): void {
     const entry = this.entries.get(key);
     if (entry === undefined) return;
@@ -98,16 +99,17 @@
       requestId: entry.requestId,
       claimedAt: entry.claimedAt,
       outcome,
-      pieces:
-        pieces.reduce((sum, piece) => sum + piece.length, 0) <= MAX_REPLAY_CHARS
-          ? pieces
+      chunkTexts:
+        chunkTexts.reduce((sum, text) => sum + text.length, 0) <=
+        MAX_REPLAY_CHARS
+          ? chunkTexts
           : undefined,
     });
   }
 
   /**
-   * Drops a claim whose request provably never reached the target, so that
-   * a later copy may run. Only a `not-run` outcome may release a claim.
+   * Removes a claim whose request never reached the target, so that a later
+   * duplicate may run. Only a `not-run` outcome allows the release of a claim.
    */
   release(key: string): void {
     this.entries.delete(key);
@@ -118,7 +120,7 @@
     return this.entries.size;
   }
 
-  /** Drops entries past retention; the map is in claim order, oldest first. */
+  /** Removes entries past retention; the map is in claim order, oldest first. */
   private expire(now: number): void {
     for (const [key, entry] of this.entries) {
       if (entry.claimedAt > now - this.retainMs) break;
--- a/packages/agent/src/ledger/ownership.ts
+++ b/packages/agent/src/ledger/ownership.ts
@@ -1,38 +1,42 @@
 /**
- * Which caller keys this agent's ledger can speak for. A keyed request runs
- * only at its home, the target that rendezvous hashing over the pool's
- * configured targets finds. The ledger is in memory, so it knows nothing of
- * keys that ran before this process started, or while another target was
- * their home; for those the agent must answer "outcome unknown".
+ * Decides for which idempotency keys the ledger of this agent is complete. A
+ * keyed request runs only at its home, the target that rendezvous hashing
+ * selects from the pool's configured targets. The ledger is in memory, so it
+ * lacks keys that ran before this process started or while another target was
+ * their home; the agent answers requests with such keys as "outcome unknown".
  */
 import {CLOCK_SKEW_MS, findHome} from '@nutmeggauge/core';
 
 /**
+ * Result of an ownership check of an idempotency key.
  * - `owned`: the ledger would hold the key if it had run; it may be claimed.
  * - `not-home`: another target is the key's home.
- * - `forgotten`: the key may have run where this ledger has no record of it.
+ * - `forgotten`: the key may have run without an entry in this ledger.
  */
 export type KeyVerdict = 'owned' | 'not-home' | 'forgotten';
 
-/** Options of key ownership. */
+/** Options of KeyOwnership. */
 export interface KeyOwnershipOptions {
   /** Id of this agent's target in the configuration record. */
   readonly targetId: string;
-  /** Epoch ms since which the ledger holds every claim; -Infinity when nothing ran before it. */
+  /**
+   * Time since which the ledger holds every claim, in epoch ms; -Infinity when
+   * no request ran before this process.
+   */
   readonly bornAt: number;
-  /** How long the ledger keeps a claim, in ms. */
+  /** Time for which the ledger keeps a claim, in ms. */
   readonly retainMs: number;
   /**
-   * Time after a change of a pool's targets in which gates may still send
-   * keys to their former homes, in ms: the bound of configuration.
+   * Longest time that a configuration change takes to reach all gates, in ms.
+   * Until then gates may still send keys to their former homes.
    * @default 8000
    */
-  readonly settleMs?: number;
+  readonly configPropagationMs?: number;
 }
 
 interface FormerTargets {
   readonly ids: readonly string[];
-  /** Epoch ms until which they may have taken requests. */
+  /** Time until which the former targets may have received requests, in epoch ms. */
   readonly until: number;
 }
 
@@ -42,7 +46,7 @@
 }
 
 /**
- * Ownership of keys at one agent.
+ * Ownership checks of idempotency keys at one agent.
  *
  * @example
  * const ownership = createKeyOwnership({targetId: 'plain-1', bornAt: Date.now(), retainMs: 900_000});
@@ -54,7 +58,7 @@
 
   constructor(private readonly options: KeyOwnershipOptions) {}
 
-  /** Takes in the targets that a newly accepted record lists for `pool`. */
+  /** Applies the targets that a newly accepted record lists for `pool`. */
   applyTargets(pool: string, ids: readonly string[], now: number): void {
     const held = this.pools.get(pool);
     if (held === undefined) {
@@ -62,14 +66,15 @@
       return;
     }
     if (held.ids.join() === ids.join()) return;
-    const until = now + (this.options.settleMs ?? 8000) + CLOCK_SKEW_MS;
+    const until =
+      now + (this.options.configPropagationMs ?? 8000) + CLOCK_SKEW_MS;
     const former = [...held.former, {ids: held.ids, until}].filter(
       f => f.until > now - this.options.retainMs,
     );
     this.pools.set(pool, {ids, former});
   }
 
-  /** Tells what the ledger can say of `key`. */
+  /** Checks whether the ledger would hold `key` if its request had run. */
   checkKey(
     pool: string,
     key: string,
@@ -79,25 +84,27 @@
     const targets = this.pools.get(pool);
     if (targets !== undefined && !this.isHome(targets.ids, key))
       return 'not-home';
-    const knownSince = this.findKnownSince(targets, key);
-    // A caller's first try comes at or after the minting of its key, so a key
-    // minted after `knownSince` cannot have run before it. A key that does
-    // not tell its age is known only once every claim it may have had
-    // elsewhere is older than the window in which keys are honoured.
+    const completeSince = this.findCompleteSince(targets, key);
+    // A caller sends a key only after minting it, so a key minted after
+    // `completeSince` cannot have run before that. A key without a mint time is
+    // owned only once any claim of it that this ledger lacks has expired.
     if (mintedAt === undefined)
-      return knownSince <= now - this.options.retainMs ? 'owned' : 'forgotten';
+      return completeSince <= now - this.options.retainMs
+        ? 'owned'
+        : 'forgotten';
     if (mintedAt < now - this.options.retainMs) return 'forgotten';
-    return mintedAt >= knownSince ? 'owned' : 'forgotten';
+    return mintedAt >= completeSince ? 'owned' : 'forgotten';
   }
 
-  private findKnownSince(
+  /** Returns the time since which the ledger holds every claim of `key`, in epoch ms. */
+  private findCompleteSince(
     targets: PoolTargets | undefined,
     key: string,
   ): number {
-    const elsewhere = (targets?.former ?? [])
+    const otherHomesUntil = (targets?.former ?? [])
       .filter(former => !this.isHome(former.ids, key))
       .map(former => former.until);
-    return Math.max(this.options.bornAt, ...elsewhere);
+    return Math.max(this.options.bornAt, ...otherHomesUntil);
   }
 
   private isHome(ids: readonly string[], key: string): boolean {
@@ -106,7 +113,7 @@
 }
 
 /**
- * Creates key ownership that knows no pools yet.
+ * Creates a KeyOwnership without pools; `applyTargets` adds them.
  *
  * @example
  * const ownership = createKeyOwnership({targetId: 'plain-1', bornAt: -Infinity, retainMs: 900_000});
--- a/packages/agent/src/orders/engine-orders.ts
+++ b/packages/agent/src/orders/engine-orders.ts
@@ -1,26 +1,26 @@
 /**
- * Orders to the local engine: brings its model, adapters and role to what
- * the configuration record wants, and keeps them there.
+ * Reconciles the model, adapters and role of the local engine with the
+ * configuration record by sending orders to the engine.
  *
- * Every order carries the record's version as its fencing number, so an
- * engine that checks refuses one from an agent that was paused and still
- * believes an older record. An engine that does not check is protected here:
- * just before an order the agent asks the configuration service whether its
- * record is the newest, and sends nothing when it cannot tell. What slips
- * through (a pause between the question and the order) is put right by the
- * next round of whichever agent holds the newest record.
+ * Every order carries the record's version as its fencing token, so an engine
+ * that checks fencing tokens refuses an order from an agent that was paused and
+ * still holds an older record. For an engine that does not check, the agent
+ * asks the configuration service just before an order whether its record is the
+ * newest, and sends nothing without a confirmation. An agent that is paused
+ * between the confirmation and the order can still send an old order; the next
+ * reconciliation by an agent with the newest record corrects it.
  */
 import {createLogger} from '@nutmeggauge/core';
 import {request} from 'undici';
 import type {ConfigRecord, Counters, EngineState} from '@nutmeggauge/core';
 
-/** What orders need of the configuration watcher. */
+/** Part of the configuration watcher that engine orders use. */
 export interface RecordSource {
   readonly current: ConfigRecord | undefined;
   confirmNewest(): Promise<boolean>;
 }
 
-/** Options of engine orders. */
+/** Options of EngineOrders. */
 export interface EngineOrdersOptions {
   readonly engineUrl: string;
   /** Id of the engine's target in the configuration record. */
@@ -28,13 +28,14 @@
   readonly source: RecordSource;
   readonly counters: Counters;
   /**
-   * Period of rounds, in ms; a newly accepted record starts one at once.
+   * Interval between reconciliations, in ms; a newly accepted record starts
+   * one at once.
    * @default 2000
    */
-  readonly roundMs?: number;
+  readonly reconcileMs?: number;
 }
 
-/** One order as the engine takes it. */
+/** One order in the form that the engine accepts. */
 interface Order {
   readonly kind: 'load-model' | 'load-adapters' | 'set-role';
   readonly value: string;
@@ -44,7 +45,7 @@
 
 const REQUEST_TIMEOUT_MS = 2000;
 
-/** Lists the orders that bring `setting` to `desired`. */
+/** Lists the orders that change the engine's `setting` to `desired`. */
 function planOrders(desired: EngineState, setting: Setting): readonly Order[] {
   const wanted = [
     ['load-model', 'model', desired.model],
@@ -57,7 +58,7 @@
 }
 
 /**
- * A task that owns the orders to one engine.
+ * Reconciliation loop that sends the orders to one engine.
  *
  * @example
  * const orders = new EngineOrders({engineUrl, targetId: 'engine-1', source: watcher, counters});
@@ -73,7 +74,7 @@
   start(): void {
     this.timer = setInterval(
       () => void this.runRound(),
-      this.options.roundMs ?? 2000,
+      this.options.reconcileMs ?? 2000,
     );
   }
 
@@ -81,21 +82,24 @@
     clearInterval(this.timer);
   }
 
-  /** Compares the engine with the record and orders what differs. */
+  /**
+   * Compares the engine's setting with the record and sends an order for each
+   * difference. Does nothing while another reconciliation runs.
+   */
   async runRound(): Promise<void> {
-    if (this.busy || this.findDesired() === undefined) return;
+    if (this.busy || this.findDesiredState() === undefined) return;
     this.busy = true;
     try {
       await this.sendDifferences();
     } catch {
-      // The engine is down or slow; the next round tries again.
+      // The engine is down or slow; the next reconciliation tries again.
       this.options.counters.add('orders.round_failed');
     } finally {
       this.busy = false;
     }
   }
 
-  private findDesired(): EngineState | undefined {
+  private findDesiredState(): EngineState | undefined {
     return this.options.source.current?.pools
       .flatMap(pool => pool.targets)
       .find(target => target.id === this.options.targetId)?.desired;
@@ -103,20 +107,20 @@
 
   private async sendDifferences(): Promise<void> {
     const {counters, source} = this.options;
-    const state = await this.readEngine();
-    if (planOrders(this.findDesired() ?? {}, state.setting).length === 0)
+    const state = await this.readEngineState();
+    if (planOrders(this.findDesiredState() ?? {}, state.setting).length === 0)
       return;
     if (!(await source.confirmNewest())) {
       counters.add('orders.withheld');
       return;
     }
-    // The confirmation may have brought a newer record: plan from that one.
+    // The confirmation may have fetched a newer record, so plan again from it.
     const fence = source.current?.version ?? 0;
     if ((state.highestFence ?? 0) > fence) {
       counters.add('orders.withheld');
       return;
     }
-    const orders = planOrders(this.findDesired() ?? {}, state.setting);
+    const orders = planOrders(this.findDesiredState() ?? {}, state.setting);
     for (const order of orders) await this.send({...order, fence});
   }
 
@@ -134,7 +138,7 @@
     this.log.info('order_sent', {...order, status: response.statusCode});
   }
 
-  private async readEngine(): Promise<{
+  private async readEngineState(): Promise<{
     readonly setting: Setting;
     readonly highestFence?: number;
   }> {
--- a/packages/agent/src/reporting/load-reporter.ts
+++ b/packages/agent/src/reporting/load-reporter.ts
@@ -1,42 +1,44 @@
 /**
- * Load reports to gates. A link in use hears of a change at once, and of
- * those that follow at most every `reportMs`; every other link gets a slow
- * heartbeat. So the cost of control grows with
- * the traffic of a node and not with the number of gates and targets.
+ * Load reports to gates. An active link gets a report when the load changes,
+ * at most one every `reportMs`; every other link gets only heartbeats. The
+ * cost of load reports thus grows with the traffic of the target rather than
+ * with the number of gates and targets.
  */
 import {RpcMethod} from '@nutmeggauge/core';
 import type {LoadReport, RpcLink} from '@nutmeggauge/core';
 
 /**
- * A link counts as in use once it brought two dispatches within this time, in
- * ms. A gate of a large fleet sends a target a request a minute: fresh
- * figures on such a link would be old again before its next choice.
+ * A link is active when at least two dispatches arrived on it within this time,
+ * in ms. In a large fleet a gate sends a target about one request a minute, so
+ * frequent reports on its link would be outdated before the gate's next choice.
  */
-const IN_USE_MS = 5000;
+const ACTIVE_WINDOW_MS = 5000;
 
 /** Options of a load reporter. */
 export interface LoadReporterOptions {
-  /** Shortest time between two reports on a link in use, in ms. */
+  /** Shortest time between two reports on an active link, in ms. */
   readonly reportMs: number;
-  /** Period of heartbeats on other links, in ms. */
+  /** Longest time between two reports on any link, in ms. */
   readonly heartbeatMs: number;
   readonly readLoad: () => LoadReport;
 }
 
 interface LinkState {
-  /** Times of the last dispatch and of the one before it, in epoch ms. */
+  /** Time of the last dispatch, in epoch ms; 0 before the first. */
   lastDispatchAt: number;
-  formerDispatchAt: number;
+  /** Time of the second to last dispatch, in epoch ms; 0 before the second. */
+  previousDispatchAt: number;
   lastSentAt: number;
-  lastSent: string;
+  /** JSON text of the last report sent. */
+  lastSentReport: string;
 }
 
-function isInUse(state: LinkState, now: number): boolean {
-  return now - state.formerDispatchAt <= IN_USE_MS;
+function isActive(state: LinkState, now: number): boolean {
+  return now - state.previousDispatchAt <= ACTIVE_WINDOW_MS;
 }
 
 /**
- * A task that reports the load of one agent to its links.
+ * Reports the load of one agent on its links to gates.
  *
  * @example
  * const reporter = new LoadReporter({reportMs: 200, heartbeatMs: 1000, readLoad});
@@ -56,13 +58,13 @@
     clearInterval(this.timer);
   }
 
-  /** Takes in a new link and reports to it at once. */
+  /** Adds a link and sends it a report at once. */
   addLink(link: RpcLink): void {
     this.links.set(link, {
       lastDispatchAt: 0,
-      formerDispatchAt: 0,
+      previousDispatchAt: 0,
       lastSentAt: 0,
-      lastSent: '',
+      lastSentReport: '',
     });
     this.broadcast([link]);
   }
@@ -71,51 +73,52 @@
     this.links.delete(link);
   }
 
-  /** Records that a link brought a request. */
+  /** Records that a dispatch arrived on `link`. */
   markDispatch(link: RpcLink): void {
     const state = this.links.get(link);
     if (state === undefined) return;
-    state.formerDispatchAt = state.lastDispatchAt;
+    state.previousDispatchAt = state.lastDispatchAt;
     state.lastDispatchAt = Date.now();
   }
 
   /**
-   * Reports a change on the links in use that were not sent one lately; the
-   * others hear of it with the next period.
+   * Reports a changed load on the active links whose last report is at least
+   * `reportMs` old; the timer reports it on the other active links.
    */
   notifyChange(): void {
     const {reportMs} = this.options;
     const now = Date.now();
     const due = [...this.links]
-      .filter(([, s]) => isInUse(s, now) && now - s.lastSentAt >= reportMs)
+      .filter(([, s]) => isActive(s, now) && now - s.lastSentAt >= reportMs)
       .map(([link]) => link);
-    // Called three times a request: without a reader the report is not made.
+    // Called three times per request, so a report is built only for due links.
     if (due.length > 0) this.broadcast(due);
   }
 
-  /** Reports to `links` now, such as when a drain begins. */
+  /** Sends a report on `links` at once, for example when a drain begins. */
   broadcast(links: Iterable<RpcLink> = this.links.keys()): void {
     const report = this.options.readLoad();
-    const figures = JSON.stringify(report);
-    for (const link of links) this.send(link, report, figures);
+    const serialized = JSON.stringify(report);
+    for (const link of links) this.send(link, report, serialized);
   }
 
   private sendDue(): void {
     const now = Date.now();
     const report = this.options.readLoad();
-    const figures = JSON.stringify(report);
+    const serialized = JSON.stringify(report);
     for (const [link, state] of this.links) {
-      const changed = isInUse(state, now) && state.lastSent !== figures;
-      const beatDue = now - state.lastSentAt >= this.options.heartbeatMs;
-      if (changed || beatDue) this.send(link, report, figures);
+      const hasChanged =
+        isActive(state, now) && state.lastSentReport !== serialized;
+      const isHeartbeatDue = now - state.lastSentAt >= this.options.heartbeatMs;
+      if (hasChanged || isHeartbeatDue) this.send(link, report, serialized);
     }
   }
 
-  private send(link: RpcLink, report: LoadReport, figures: string): void {
+  private send(link: RpcLink, report: LoadReport, serialized: string): void {
     const state = this.links.get(link);
     if (state === undefined) return;
     state.lastSentAt = Date.now();
-    state.lastSent = figures;
+    state.lastSentReport = serialized;
     link.notify(RpcMethod.load, report);
   }
 }
--- a/packages/agent/src/settings.ts
+++ b/packages/agent/src/settings.ts
@@ -1,63 +1,66 @@
 /**
- * Settings of `nutmeggauge-agent`, read from YAML and checked by zod.
+ * Settings of `nutmeggauge-agent`, read from YAML and validated with zod.
  */
 import {SHORT_MAX_TOKENS} from '@nutmeggauge/core';
 import {z} from 'zod';
 
 export const AgentSettingsSchema = z.object({
-  /** Name of this agent; also the target's id in configuration records. */
+  /** Id of this agent, and of its target in configuration records. */
   id: z.string().min(1),
   /** Availability zone of the target host. */
   zone: z.string().min(1),
-  /** Where gates reach this agent's json-rpc listener. */
+  /** Address of the JSON-RPC listener that gates connect to. */
   listen: z.object({
     host: z.string().min(1).default('127.0.0.1'),
     port: z.number().int().min(0).max(65535),
   }),
-  /** The local target this agent fronts. */
+  /** Local target that this agent forwards requests to. */
   target: z.object({
     kind: z.enum(['engine', 'plain']),
     url: z.url(),
   }),
   lanes: z
     .object({
-      /** Prompts up to this many tokens go to the short lane. */
+      /** Longest prompt that goes to the short lane, in tokens. */
       shortMaxTokens: z.number().int().positive().default(SHORT_MAX_TOKENS),
-      /** Asks the engine to read shorter prompts first. */
+      /** Whether the engine is asked to prefill shorter prompts first. */
       prioritize: z.boolean().default(true),
-      /** Short requests in flight at the target at once. */
+      /** Most short requests in flight at the target at once. */
       shortSlots: z.number().int().positive().default(48),
-      /** Long requests in flight at the target at once. */
+      /** Most long requests in flight at the target at once. */
       longSlots: z.number().int().positive().default(16),
     })
     .prefault({}),
-  /** The configuration service; without it keyed requests are not fenced by record version. */
+  /**
+   * Configuration service to watch; without it the record version of keyed
+   * requests is not checked.
+   */
   configService: z
     .object({
       url: z.url(),
-      /** How long one watch waits, in ms. */
+      /** Long-poll timeout of one watch request, in ms. */
       waitMs: z.number().int().positive().default(25_000),
     })
     .optional(),
   ledger: z
     .object({
       /**
-       * True only at the first start of the whole system: no earlier process
-       * of this slot can have run a request. Anything else must leave it out,
-       * or a key that ran before a restart can run again.
+       * True only at the first start of the whole system, when no earlier
+       * process of this agent can have run a request. Must be left out in any
+       * other case: a key that ran before a restart could run again.
        */
       bootstrap: z.boolean().default(false),
-      /** How long a caller's key is honoured, in ms. */
+      /** Time for which a caller's idempotency key is honoured, in ms. */
       retainMs: z.number().int().positive().default(900_000),
-      /** Most keys held; further keyed requests are refused as not run. */
+      /** Most keys held; requests with further keys are refused as not run. */
       maxEntries: z.number().int().positive().default(50_000),
     })
     .prefault({}),
-  /** Shortest time between two load reports on a link in use, in ms. */
+  /** Shortest time between two load reports on an active link, in ms. */
   loadReportMs: z.number().int().positive().default(100),
-  /** Period of heartbeats on links without requests, in ms. */
+  /** Longest time between two load reports on any link, in ms. */
   heartbeatMs: z.number().int().positive().default(1000),
-  /** Longest time a drain waits for requests in flight, in ms. */
+  /** Longest time that a drain waits for requests in flight, in ms. */
   drainTimeoutMs: z.number().int().positive().default(120_000),
 });
 
--- a/packages/agent/src/target/engine-target.test.ts
+++ b/packages/agent/src/target/engine-target.test.ts
@@ -18,52 +18,55 @@
   attempt: 1,
 };
 
-/** Runs a request on an engine that streams `events`. */
-async function runOn(events: string): Promise<{
+/** Runs a request on an engine that answers with the SSE text `events`. */
+async function runOnEngine(events: string): Promise<{
   readonly outcome: DispatchOutcome;
-  readonly pieces: readonly unknown[];
+  readonly chunkTexts: readonly unknown[];
 }> {
   const server = createServer((_req, res) => {
     res.writeHead(200, {'content-type': 'text/event-stream'});
     res.end(events);
   });
   const port = await openListener(server, {host: '127.0.0.1', port: 0});
-  const pieces: unknown[] = [];
+  const chunkTexts: unknown[] = [];
   const outcome = await new EngineTarget(`http://127.0.0.1:${port}`).run(
     REQUEST,
-    (_seq, text) => pieces.push(text),
+    (_seq, text) => chunkTexts.push(text),
     new AbortController().signal,
   );
   await closeHttpServer(server);
-  return {outcome, pieces};
+  return {outcome, chunkTexts};
 }
 
 const DONE = 'event: done\ndata: {"tokens":1,"cachedTokens":0}\n\n';
 
-describe('a stream of an engine', () => {
-  it('hands on what is whole', async () => {
-    const {outcome, pieces} = await runOn(
+describe('EngineTarget', () => {
+  it('passes on the token events of a complete, valid stream', async () => {
+    const {outcome, chunkTexts} = await runOnEngine(
       `data: {"seq":0,"text":"a"}\n\n${DONE}`,
     );
     expect(outcome.status).toEqual('done');
-    expect(pieces).toEqual(['a']);
+    expect(chunkTexts).toEqual(['a']);
   });
 
-  it('is broken where a piece has no text or no number', async () => {
-    // Guards against a piece without a text, which ended the agent.
+  it('reports the stream as broken when a token event lacks its text or sequence number', async () => {
+    // Guards against an uncaught error that ends the agent when an engine
+    // sends a token event without text.
     for (const piece of ['{"seq":0}', '{"text":"a"}', 'null', '7', '{}']) {
-      const {outcome, pieces} = await runOn(`data: ${piece}\n\n${DONE}`);
+      const {outcome, chunkTexts} = await runOnEngine(
+        `data: ${piece}\n\n${DONE}`,
+      );
       expect(outcome).toEqual({
         status: 'unknown',
         reason: 'target_stream_broken',
       });
-      expect(pieces).toEqual([]);
+      expect(chunkTexts).toEqual([]);
     }
   });
 
-  it('is broken where its end has no figures', async () => {
+  it('reports an unknown outcome when the done event lacks its token counts', async () => {
     for (const end of ['{}', '{"tokens":null,"cachedTokens":0}', 'null']) {
-      const {outcome} = await runOn(`event: done\ndata: ${end}\n\n`);
+      const {outcome} = await runOnEngine(`event: done\ndata: ${end}\n\n`);
       expect(outcome.status).toEqual('unknown');
     }
   });
--- a/packages/agent/src/target/engine-target.ts
+++ b/packages/agent/src/target/engine-target.ts
@@ -1,28 +1,31 @@
 /**
- * Client of the engine's `POST /v1/generate` SSE stream.
+ * Client of an engine's `POST /v1/generate`, which streams the answer as SSE.
  */
 import {countTokens, findLengthClass, readSseEvents} from '@nutmeggauge/core';
 import {request} from 'undici';
 import {z} from 'zod';
-import {TargetClient, isNeverSent} from './target.js';
+import {TargetClient, isConnectFailure} from './target.js';
 import type {DispatchOutcome, DispatchRequest} from '@nutmeggauge/core';
 import type {ChunkSink} from './target.js';
 
 /**
- * Shortest lease on the engine's KV cache, in ms: it ends at the request's
- * deadline, even if the agent dies.
+ * Shortest lease on the engine's KV cache, in ms. The lease ends at the
+ * request's deadline, so the engine frees the cache even if the agent dies.
  */
 const MIN_LEASE_MS = 1000;
 
-// A piece without a text would fail in the ledger.
-const PieceSchema = z.object({
+// A token event without text would fail later, in the ledger.
+const TokenEventSchema = z.object({
   seq: z.number().int().nonnegative(),
   text: z.string(),
 });
 
-const DoneSchema = z.object({tokens: z.number(), cachedTokens: z.number()});
+const DoneEventSchema = z.object({
+  tokens: z.number(),
+  cachedTokens: z.number(),
+});
 
-const FailedSchema = z.object({reason: z.string()});
+const FailedEventSchema = z.object({reason: z.string()});
 
 /**
  * Runs `generate` requests on an engine.
@@ -32,7 +35,7 @@
  */
 export class EngineTarget extends TargetClient {
   /**
-   * @param prioritizes - Asks the engine to read shorter prompts first.
+   * @param prioritizes - Whether to ask the engine to prefill shorter prompts first.
    */
   constructor(
     url: string,
@@ -42,7 +45,7 @@
   }
 
   async run(
-    job: DispatchRequest,
+    dispatchRequest: DispatchRequest,
     sink: ChunkSink,
     signal: AbortSignal,
   ): Promise<DispatchOutcome> {
@@ -52,25 +55,28 @@
         method: 'POST',
         headers: {'content-type': 'application/json'},
         body: JSON.stringify({
-          requestId: job.requestId,
-          prompt: job.prompt ?? '',
-          maxTokens: job.maxTokens ?? 16,
+          requestId: dispatchRequest.requestId,
+          prompt: dispatchRequest.prompt ?? '',
+          maxTokens: dispatchRequest.maxTokens ?? 16,
           priority: this.prioritizes
-            ? findLengthClass(countTokens(job.prompt ?? ''))
+            ? findLengthClass(countTokens(dispatchRequest.prompt ?? ''))
             : 0,
-          leaseMs: Math.max(MIN_LEASE_MS, job.deadlineAt - Date.now()),
-          resume: job.resume,
+          leaseMs: Math.max(
+            MIN_LEASE_MS,
+            dispatchRequest.deadlineAt - Date.now(),
+          ),
+          resume: dispatchRequest.resume,
         }),
         signal,
       });
     } catch (error) {
-      if (isNeverSent(error))
+      if (isConnectFailure(error))
         return {status: 'not-run', reason: 'target_unreachable'};
       return {status: 'unknown', reason: 'target_failed'};
     }
     if (response.statusCode !== 200) {
       await response.body.dump();
-      // The engine answers 503 and 400 before it admits the sequence.
+      // The engine answers 503 or 400 before it admits the sequence.
       return {
         status: 'not-run',
         reason:
@@ -87,9 +93,10 @@
     let chunks = 0;
     try {
       for await (const event of readSseEvents(body)) {
-        if (event.event === 'done') return toDone(event.data, chunks);
-        if (event.event === 'failed') return toFailure(event.data, chunks);
-        const token = PieceSchema.parse(JSON.parse(event.data));
+        if (event.event === 'done') return toDoneOutcome(event.data, chunks);
+        if (event.event === 'failed')
+          return toFailedOutcome(event.data, chunks);
+        const token = TokenEventSchema.parse(JSON.parse(event.data));
         sink(token.seq, token.text);
         chunks = token.seq + 1;
       }
@@ -100,14 +107,18 @@
   }
 }
 
-/** `chunks` counts every chunk of the answer, those before a resume too. */
-function toDone(data: string, chunks: number): DispatchOutcome {
-  const {tokens, cachedTokens} = DoneSchema.parse(JSON.parse(data));
+/**
+ * Parses the data of a `done` event into an outcome.
+ *
+ * @param chunks - Chunks of the whole answer, with those before a resume.
+ */
+function toDoneOutcome(data: string, chunks: number): DispatchOutcome {
+  const {tokens, cachedTokens} = DoneEventSchema.parse(JSON.parse(data));
   return {status: 'done', chunks, tokens, cachedTokens};
 }
 
-function toFailure(data: string, chunks: number): DispatchOutcome {
-  const {reason} = FailedSchema.parse(JSON.parse(data));
+function toFailedOutcome(data: string, chunks: number): DispatchOutcome {
+  const {reason} = FailedEventSchema.parse(JSON.parse(data));
   if (reason === 'too_large' && chunks === 0)
     return {status: 'not-run', reason: 'prompt_too_large'};
   return {status: 'unknown', reason: `target_${reason}`};
--- a/packages/agent/src/target/plain-target.ts
+++ b/packages/agent/src/target/plain-target.ts
@@ -2,20 +2,21 @@
  * Client of a plain service's `POST /v1/call`.
  */
 import {request} from 'undici';
-import {TargetClient, isNeverSent} from './target.js';
+import {TargetClient, isConnectFailure} from './target.js';
 import type {DispatchOutcome, DispatchRequest} from '@nutmeggauge/core';
 import type {ChunkSink} from './target.js';
 
 /**
- * Time past a call's deadline after which its outcome is taken as unknown,
- * in ms: a call that has started runs on past it, for the caller's retry.
+ * Time after a call's deadline at which its outcome becomes unknown, in ms. A
+ * started call runs on past its deadline, so that a caller's retry can get its
+ * outcome.
  */
 const HANG_GRACE_MS = 30_000;
 
-/** The status by which a service promises that it did not run a call. */
+/** Status by which a service promises that it did not run the call. */
 const NOT_RUN_STATUS = 429;
 
-/** Statuses by which a service refuses the call itself, for good. */
+/** Statuses that reject the call itself, so that a retry cannot succeed. */
 const FINAL_REFUSALS: ReadonlySet<number> = new Set([
   400, 401, 403, 404, 405, 410, 413, 415, 422,
 ]);
@@ -28,7 +29,7 @@
  */
 export class PlainTarget extends TargetClient {
   async run(
-    job: DispatchRequest,
+    dispatchRequest: DispatchRequest,
     _sink: ChunkSink,
     signal: AbortSignal,
   ): Promise<DispatchOutcome> {
@@ -38,18 +39,18 @@
         method: 'POST',
         headers: {'content-type': 'application/json'},
         body: JSON.stringify({
-          requestId: job.requestId,
-          ledgerKey: job.ledgerKey,
-          op: job.op,
-          args: job.args ?? {},
+          requestId: dispatchRequest.requestId,
+          ledgerKey: dispatchRequest.ledgerKey,
+          op: dispatchRequest.op,
+          args: dispatchRequest.args ?? {},
         }),
         signal,
-        // A service that hangs must not hold its slot in the lane for good.
+        // A call to a hanging service must not hold its lane slot forever.
         headersTimeout:
-          Math.max(0, job.deadlineAt - Date.now()) + HANG_GRACE_MS,
+          Math.max(0, dispatchRequest.deadlineAt - Date.now()) + HANG_GRACE_MS,
       });
     } catch (error) {
-      if (isNeverSent(error))
+      if (isConnectFailure(error))
         return {status: 'not-run', reason: 'target_unreachable'};
       return {status: 'unknown', reason: 'target_failed'};
     }
@@ -58,19 +59,19 @@
 }
 
 /**
- * Reads what a service's answer says of the call. 429 promises that it did
- * not run. Another refusal of the call itself (no such item, bad arguments)
- * is the service's whole answer and goes to the caller. Anything else (a
- * 5xx, a timeout) leaves open whether it ran.
+ * Reads the outcome of a call from the service's response. Status 429 means
+ * that the call did not run. A rejection of the call itself (no such item, bad
+ * arguments) is the service's answer and is passed on to the caller. After any
+ * other error (a 5xx, a timeout) the call may have run.
  */
 async function readOutcome(response: {
   readonly statusCode: number;
   readonly body: {dump(): Promise<void>; json(): Promise<unknown>};
 }): Promise<DispatchOutcome> {
   const {statusCode, body} = response;
-  const isAnswer = statusCode < 300 || FINAL_REFUSALS.has(statusCode);
+  const isFinalAnswer = statusCode < 300 || FINAL_REFUSALS.has(statusCode);
   try {
-    if (!isAnswer) {
+    if (!isFinalAnswer) {
       await body.dump();
       return statusCode === NOT_RUN_STATUS
         ? {status: 'not-run', reason: 'target_rejected'}
--- a/packages/agent/src/target/target.ts
+++ b/packages/agent/src/target/target.ts
@@ -1,17 +1,17 @@
 /**
- * Clients of the local target. Behaviour differs by kind of target (engine
- * or plain service), so each kind is a subclass of TargetClient. Both tell
- * apart "never reached the target" (not run) from "may have run" (unknown).
+ * Client of the local target, with one subclass per kind of target (engine or
+ * plain service). Clients distinguish a request that never reached the target
+ * (outcome "not-run") from a request that may have run (outcome "unknown").
  */
 import type {DispatchOutcome, DispatchRequest} from '@nutmeggauge/core';
 
-/** Where a target client delivers the pieces of a streamed answer. */
+/** Callback that receives each chunk of a streamed answer. */
 export interface ChunkSink {
   (seq: number, text: string): void;
 }
 
 /**
- * A client of one local target.
+ * Client of one local target.
  *
  * @example
  * const outcome = await target.run(request, sink, signal);
@@ -19,7 +19,7 @@
 export abstract class TargetClient {
   constructor(protected readonly url: string) {}
 
-  /** Runs one request; never throws, every failure is an outcome. */
+  /** Runs one request; never throws, as every failure is an outcome. */
   abstract run(
     request: DispatchRequest,
     sink: ChunkSink,
@@ -28,10 +28,10 @@
 }
 
 /**
- * Tells whether an error from undici means no byte reached the target:
- * the connection itself was refused or could not be made.
+ * Checks whether an error from undici means that no connection was made, so
+ * that no byte of the request reached the target.
  */
-export function isNeverSent(error: unknown): boolean {
+export function isConnectFailure(error: unknown): boolean {
   const code =
     (error as {code?: string})?.code ??
     (error as {cause?: {code?: string}})?.cause?.code;
