--- a/packages/agent/src/intake/intake.ts
+++ b/packages/agent/src/intake/intake.ts
@@ -216,9 +216,10 @@
   }
 
   /**
-   * Checks that this target is the home of `key` and that the ledger is complete
-   * for it, which prevents runs of one key at two targets. Returns the refusal
-   * when the agent's record is older than the gate's or the check fails.
+   * Checks that this target is the home of `key` and that the ledger is
+   * complete for it, which prevents runs of one key at two targets. Returns the
+   * refusal when the agent's record is older than the gate's or the check
+   * fails.
    */
   private checkOwnership(
     key: string,
--- a/packages/agent/src/ledger/ledger.ts
+++ b/packages/agent/src/ledger/ledger.ts
@@ -24,7 +24,9 @@
 /** Longest streamed answer that is kept for duplicates, in characters. */
 export const MAX_REPLAY_CHARS = 65_536;
 
-/** Result of `claim` when the ledger already holds `maxEntries` unexpired keys. */
+/**
+ * Result of `claim` when the ledger already holds `maxEntries` unexpired keys.
+ */
 export const LEDGER_FULL = 'full';
 
 /** Options of Ledger. */
@@ -86,7 +88,9 @@
     return this.entries.get(key);
   }
 
-  /** Records the final outcome of a claimed key and the streamed chunk texts. */
+  /**
+   * Records the final outcome of a claimed key and the streamed chunk texts.
+   */
   settle(
     key: string,
     outcome: DispatchOutcome,
@@ -100,7 +104,7 @@
       claimedAt: entry.claimedAt,
       outcome,
       chunkTexts:
-        chunkTexts.reduce((sum, text) => sum + text.length, 0) <=
+        chunkTexts.reduce((sum, chunkText) => sum + chunkText.length, 0) <=
         MAX_REPLAY_CHARS
           ? chunkTexts
           : undefined,
@@ -120,7 +124,9 @@
     return this.entries.size;
   }
 
-  /** Removes entries past retention; the map is in claim order, oldest first. */
+  /**
+   * Removes entries past retention; the map is in claim order, oldest first.
+   */
   private expire(now: number): void {
     for (const [key, entry] of this.entries) {
       if (entry.claimedAt > now - this.retainMs) break;
--- a/packages/agent/src/ledger/ownership.test.ts
+++ b/packages/agent/src/ledger/ownership.test.ts
@@ -51,8 +51,8 @@
     ownership.applyTargets('orders', TARGET_IDS, 1000);
     ownership.applyTargets('orders', [...TARGET_IDS, 'plain-4'], 50_000);
     const verdict = ownership.checkKey('orders', key, 49_000, 51_000);
-    const isHome = findHome([...TARGET_IDS, 'plain-4'], key) === 'plain-1';
-    expect(verdict).toEqual(isHome ? 'owned' : 'not-home');
+    const isStillHome = findHome([...TARGET_IDS, 'plain-4'], key) === 'plain-1';
+    expect(verdict).toEqual(isStillHome ? 'owned' : 'not-home');
   });
 
   it('reports a key without a mint time as forgotten until the retention time after a restart has passed', () => {
--- a/packages/agent/src/ledger/ownership.ts
+++ b/packages/agent/src/ledger/ownership.ts
@@ -36,7 +36,10 @@
 
 interface FormerTargets {
   readonly ids: readonly string[];
-  /** Time until which the former targets may have received requests, in epoch ms. */
+  /**
+   * Time until which the former targets may have received requests, in epoch
+   * ms.
+   */
   readonly until: number;
 }
 
@@ -96,7 +99,10 @@
     return mintedAt >= completeSince ? 'owned' : 'forgotten';
   }
 
-  /** Returns the time since which the ledger holds every claim of `key`, in epoch ms. */
+  /**
+   * Returns the time since which the ledger holds every claim of `key`, in
+   * epoch ms.
+   */
   private findCompleteSince(
     targets: PoolTargets | undefined,
     key: string,
--- a/packages/agent/src/target/engine-target.ts
+++ b/packages/agent/src/target/engine-target.ts
@@ -35,7 +35,8 @@
  */
 export class EngineTarget extends TargetClient {
   /**
-   * @param prioritizes - Whether to ask the engine to prefill shorter prompts first.
+   * @param prioritizes - Whether to ask the engine to prefill shorter prompts
+   * first.
    */
   constructor(
     url: string,
--- a/packages/standins/src/config-service/server.ts
+++ b/packages/standins/src/config-service/server.ts
@@ -1,8 +1,9 @@
 /**
- * The configuration service stand-in: read-only and watchable for readers,
- * with an admin side that the tests and the demo use in the operators'
- * place. It can be told to go down or to serve a stale record, and it counts
- * every call, a waiting watch as one.
+ * Stand-in for the configuration service. Readers fetch the current record or
+ * watch for a newer one by long polling. An admin API, used by the tests and
+ * the demo in place of an operator, publishes records and switches the service
+ * to unavailable or stale. The stand-in counts every reader request, a watch as
+ * one.
  */
 import {createServer} from 'node:http';
 import {
@@ -18,21 +19,31 @@
 
 type StoredRecord = Readonly<Record<string, unknown>>;
 
-/** How the stand-in answers readers. */
+/**
+ * How the stand-in answers readers: with the newest record (`up`), with status
+ * 503 (`down`), or with the oldest record (`stale`).
+ */
 export type ConfigServiceMode = 'up' | 'down' | 'stale';
 
-/** A running configuration service stand-in. */
+/** A running stand-in for the configuration service. */
 export interface ConfigServiceStandIn {
   readonly server: Server;
-  /** Publishes a record (its `version` is assigned) and wakes watchers. */
+  /**
+   * Publishes a record, notifies watchers and returns the version assigned to
+   * it.
+   */
   publish(record: Readonly<Record<string, unknown>>): number;
   setMode(mode: ConfigServiceMode): void;
-  /** Reader calls so far. */
+  /** Returns the number of reader requests received so far. */
   readonly calls: () => number;
   close(): Promise<void>;
 }
 
-/** Leaves out the sections that a reader did not ask for. */
+/**
+ * Empties the sections of `record` that a reader did not ask for.
+ *
+ * @param sections - Comma-separated names; null asks for all sections.
+ */
 function pickSections(
   record: Readonly<Record<string, unknown>>,
   sections: string | null,
@@ -46,7 +57,7 @@
 }
 
 /**
- * Starts the configuration service stand-in.
+ * Starts a stand-in for the configuration service.
  *
  * @example
  * const service = await startConfigServiceStandIn('127.0.0.1', 0);
@@ -75,10 +86,10 @@
   };
 
   /**
-   * What a reader that holds version `after` is sent: the changed items when
-   * the service still has that version, else the whole record.
+   * Renders the answer to a reader that holds version `after`: the changed
+   * items when the service has that version, else the whole record.
    */
-  const renderFor = (
+  const renderUpdate = (
     latest: StoredRecord,
     after: number,
     sections: string | null,
@@ -91,7 +102,7 @@
     );
   };
 
-  /** The newest record of a schema that the reader knows. */
+  /** Finds the newest record with a schema version that the reader supports. */
   const findLatest = (schemas: string | null): StoredRecord | undefined => {
     if (schemas === null) return records.at(-1);
     const known = new Set(schemas.split(',').map(Number));
@@ -114,13 +125,13 @@
       return;
     }
     if (mode === 'stale') {
-      // A lagging replica: answers at once with the oldest record it has.
+      // Like a lagging replica, answers at once with the oldest record.
       if (records.length === 0) sendJson(res, 404, {error: 'no_record'});
       else sendJson(res, 200, records[0]);
       return;
     }
     const after = Number(url.searchParams.get('after') ?? 0);
-    const waitFor = Math.min(
+    const watchTimeoutMs = Math.min(
       60_000,
       Number(url.searchParams.get('waitMs') ?? 0),
     );
@@ -129,10 +140,10 @@
       if (latest === undefined || (latest.version as number) <= after)
         return false;
       const sections = url.searchParams.get('sections');
-      sendJson(res, 200, renderFor(latest, after, sections));
+      sendJson(res, 200, renderUpdate(latest, after, sections));
       return true;
     };
-    if (answer() || waitFor <= 0) {
+    if (answer() || watchTimeoutMs <= 0) {
       if (!res.headersSent) res.writeHead(304).end();
       return;
     }
@@ -143,7 +154,7 @@
     const timer = setTimeout(() => {
       cleanup();
       res.writeHead(304).end();
-    }, waitFor);
+    }, watchTimeoutMs);
     const cleanup = (): void => {
       clearTimeout(timer);
       watchers.delete(wake);
--- a/packages/standins/src/engine/options.ts
+++ b/packages/standins/src/engine/options.ts
@@ -1,33 +1,33 @@
 /**
- * Options of the engine stand-in and their defaults. The cost model is
- * scaled so that a bench on one machine runs in seconds: a 1M-token prompt
- * takes about 2.5 s of prefill at the default rate.
+ * Options of the engine stand-in and their defaults. The default rates are
+ * scaled so that a benchmark on one machine takes seconds: prefill of a
+ * 1M-token prompt takes about 2.5 s.
  */
 
-/** How an engine treats an order that carries an old fencing number. */
+/** How an engine treats an order whose fencing token is outdated. */
 export type FencingMode = 'refuse' | 'ignore';
 
 /** Options of one engine stand-in. */
 export interface EngineOptions {
-  /** Name used in logs and load reports. */
+  /** Id used in logs and load reports. */
   readonly id: string;
   /**
-   * KV memory, in tokens, for prompts and generated tokens together.
+   * Size of the KV cache, in prompt and generated tokens.
    * @default 2_400_000
    */
   readonly kvCapacityTokens?: number;
   /**
-   * Prompt tokens prefilled a second.
+   * Prefill rate, in prompt tokens per second.
    * @default 400_000
    */
   readonly prefillTokensPerSecond?: number;
   /**
-   * Most prompt tokens prefilled in one step (chunked prefill).
+   * Most prompt tokens prefilled in one step of chunked prefill.
    * @default 16_384
    */
   readonly prefillChunkTokens?: number;
   /**
-   * Time of one decode step, in ms.
+   * Duration of one decode step, in ms.
    * @default 8
    */
   readonly decodeStepMs?: number;
@@ -37,44 +37,45 @@
    */
   readonly maxBatch?: number;
   /**
-   * Most sequences waiting for KV memory before new ones are refused.
+   * Most sequences waiting for KV cache space; further ones are refused.
    * @default 256
    */
   readonly maxWaiting?: number;
   /**
-   * Tokens in one prefix-cache block.
+   * Size of a prefix-cache block, in tokens.
    * @default 512
    */
   readonly blockTokens?: number;
   /**
-   * Blocks kept in the prefix cache.
+   * Capacity of the prefix cache, in blocks.
    * @default 4096
    */
   readonly prefixCacheBlocks?: number;
   /**
-   * Age of the load figures the engine reports, in ms.
+   * Longest age of the load that the engine reports, and delay before cache
+   * events are published, in ms.
    * @default 250
    */
   readonly loadLagMs?: number;
   /**
-   * Treatment of orders with an old fencing number.
+   * Treatment of orders with an outdated fencing token.
    * @default 'refuse'
    */
   readonly fencing?: FencingMode;
   /**
-   * Letter that this engine's tokens begin with (` t0 t1 …`): different letters
-   * stand for sampling, so pieces of two runs can be told apart.
+   * First letter of this engine's tokens (` t0 t1 …`). Different letters
+   * simulate sampling and show which run a token comes from.
    *
    * @default 't'
    */
   readonly tokenLetter?: string;
 }
 
-/** Options with every default filled in. */
+/** Engine options with defaults applied. */
 export type ResolvedEngineOptions = Required<EngineOptions>;
 
 /**
- * Fills in the defaults of engine options.
+ * Resolves engine options by applying the defaults.
  *
  * @example
  * resolveEngineOptions({id: 'engine-1'}).decodeStepMs; // 8
--- a/packages/standins/src/engine/orders.ts
+++ b/packages/standins/src/engine/orders.ts
@@ -1,39 +1,43 @@
 /**
- * The engine's side of orders: it loads models and adapters and changes its
- * role. Engines of mode `refuse` keep the highest fencing number and refuse
- * older ones; engines of mode `ignore` carry out whatever arrives last.
+ * Handling of orders by the engine stand-in: orders load a model or adapters or
+ * set the engine's role. In mode `refuse` the engine remembers the highest
+ * fencing token and refuses orders with a lower one; in mode `ignore` it
+ * applies every order in the order of arrival.
  */
 import {createLogger} from '@nutmeggauge/core';
 import type {FencingMode} from './options.js';
 
-/** An order to the engine, fenced by a number that must not go backwards. */
+/**
+ * An order to the engine; its fencing token must not be lower than earlier
+ * ones.
+ */
 export interface EngineOrder {
   readonly fence: number;
   readonly kind: 'load-model' | 'load-adapters' | 'set-role';
   readonly value: string;
 }
 
-/** Order kinds and the part of the state they set. */
+/** Key of the engine's setting that each kind of order sets. */
 const STATE_KEY = {
   'load-model': 'model',
   'load-adapters': 'adapters',
   'set-role': 'role',
 } as const;
 
-/** What the engine is set to now. */
+/** Model, adapters and role that the engine is set to. */
 export type EngineSetting = Readonly<
   Partial<Record<(typeof STATE_KEY)[EngineOrder['kind']], string>>
 >;
 
 /**
- * Orders of one engine.
+ * Handler of the orders to one engine.
  *
  * @example
- * const book = new OrderBook('refuse');
- * book.apply({fence: 2, kind: 'load-model', value: 'm'}); // true
+ * const orders = new OrderHandler('refuse');
+ * orders.apply({fence: 2, kind: 'load-model', value: 'm'}); // true
  */
-export class OrderBook {
-  /** Orders carried out, in order. */
+export class OrderHandler {
+  /** Applied orders, oldest first. */
   readonly applied: EngineOrder[] = [];
   private highestFence = 0;
   private setting: EngineSetting = {};
@@ -41,7 +45,7 @@
 
   constructor(private readonly mode: FencingMode) {}
 
-  /** Carries out an order; false when its fencing number is refused. */
+  /** Applies an order; returns false when its fencing token is refused. */
   apply(order: EngineOrder): boolean {
     if (this.mode === 'refuse' && order.fence < this.highestFence) return false;
     this.highestFence = Math.max(this.highestFence, order.fence);
@@ -51,7 +55,11 @@
     return true;
   }
 
-  /** What `GET /v1/orders` answers; an ignoring engine knows no fences. */
+  /**
+   * Describes the applied orders and the setting for `GET /v1/orders`. The
+   * highest fencing token is left out in mode `ignore`, which does not check
+   * it.
+   */
   describe(): object {
     return {
       orders: this.applied,
@@ -60,7 +68,7 @@
     };
   }
 
-  /** What the engine is set to now. */
+  /** The engine's current setting. */
   get current(): EngineSetting {
     return this.setting;
   }
--- a/packages/standins/src/engine/prefix-cache.ts
+++ b/packages/standins/src/engine/prefix-cache.ts
@@ -1,11 +1,14 @@
 /**
- * The engine's prefix cache: an LRU of prompt blocks keyed by a chained
- * hash, so a block matches only when every block before it matches too.
+ * Prefix cache of the engine stand-in: an LRU cache of prompt blocks keyed by a
+ * chained hash, so a block matches only if every preceding block matches.
  */
 import {createHash} from 'node:crypto';
 import {CHARS_PER_TOKEN} from '@nutmeggauge/core';
 
-/** A change of the cache, published to routers late and with gaps. */
+/**
+ * A change of the prefix cache. Events reach routers with a delay, and readers
+ * that fall behind miss some.
+ */
 export interface CacheEvent {
   readonly seq: number;
   readonly kind: 'stored' | 'removed';
@@ -14,7 +17,7 @@
 }
 
 /**
- * Hashes the full blocks of a prompt, each hash covering all before it.
+ * Hashes the full blocks of a prompt; each hash covers all preceding blocks.
  *
  * @example
  * hashPromptBlocks('a'.repeat(4096), 512).length; // 2
@@ -41,7 +44,7 @@
 }
 
 /**
- * LRU of block hashes with an event log.
+ * LRU cache of block hashes with an event log.
  *
  * @example
  * const cache = new PrefixCache(1024);
@@ -55,7 +58,10 @@
 
   constructor(private readonly capacityBlocks: number) {}
 
-  /** Counts the leading blocks of a prompt that are cached, refreshing them. */
+  /**
+   * Counts the leading blocks of a prompt that are cached, and marks them as
+   * used.
+   */
   countLeadingHits(hashes: readonly string[]): number {
     let hits = 0;
     for (const hash of hashes) {
@@ -67,7 +73,7 @@
     return hits;
   }
 
-  /** Stores blocks after a prefill, evicting the least recently used. */
+  /** Stores blocks after a prefill and evicts the least recently used ones. */
   store(hashes: readonly string[]): void {
     const added = hashes.filter(hash => !this.blocks.has(hash));
     for (const hash of hashes) {
@@ -84,7 +90,9 @@
     if (removed.length > 0) this.record('removed', removed);
   }
 
-  /** Events with `seq` above `after` and older than `lagMs`. */
+  /**
+   * Returns the events with `seq` above `after` that are at least `lagMs` old.
+   */
   readEvents(after: number, lagMs: number, now: number): readonly CacheEvent[] {
     return this.events.filter(
       event => event.seq > after && event.at <= now - lagMs,
@@ -93,7 +101,7 @@
 
   private record(kind: CacheEvent['kind'], blocks: readonly string[]): void {
     this.events.push({seq: this.nextSeq++, kind, blocks, at: Date.now()});
-    // Only a bounded tail is kept: readers that fall behind see a gap.
+    // The log is bounded, so readers that fall behind miss old events.
     if (this.events.length > 10_000)
       this.events.splice(0, this.events.length - 10_000);
   }
--- a/packages/standins/src/engine/scheduler.test.ts
+++ b/packages/standins/src/engine/scheduler.test.ts
@@ -5,7 +5,7 @@
 
 const silent = {onToken: () => {}, onDone: () => {}, onFail: () => {}};
 
-describe('engine memory', () => {
+describe('KV cache of the engine stand-in', () => {
   beforeEach(() => {
     mock.timers.enable({apis: ['setTimeout', 'Date']});
   });
@@ -13,8 +13,9 @@
     mock.timers.reset();
   });
 
-  it('comes back when its lease expires, though nobody cancels', () => {
-    // Guards against KV cache that a vanished caller holds for good.
+  it('releases a reservation when its lease expires without a cancel', () => {
+    // Guards against KV cache that stays reserved forever after the caller
+    // disappears.
     const scheduler = new EngineScheduler(resolveEngineOptions({id: 'e'}));
     scheduler.submit(
       {
--- a/packages/standins/src/engine/scheduler.ts
+++ b/packages/standins/src/engine/scheduler.ts
@@ -1,16 +1,16 @@
 /**
  * Continuous batching with chunked prefill. Each step prefills up to
- * `prefillChunkTokens` in priority order and decodes one token for up to
- * `maxBatch` sequences; the step lasts `decodeStepMs` plus the prefill cost,
- * and what it produced is out at its end. A sequence whose prefill ends in a
- * step has its first token from that step.
- * KV memory is reserved per sequence as a lease that expires.
+ * `prefillChunkTokens` in priority order and decodes one token for each of up
+ * to `maxBatch` sequences. A step lasts `decodeStepMs` plus the prefill time,
+ * and its tokens are sent at its end. A sequence whose prefill completes in a
+ * step gets its first token from that step. Each sequence reserves KV cache
+ * space under a lease that expires.
  */
 import {countTokens} from '@nutmeggauge/core';
 import {PrefixCache, hashPromptBlocks} from './prefix-cache.js';
 import type {ResolvedEngineOptions} from './options.js';
 
-/** What the caller of `submit` hears about its sequence. */
+/** Callbacks for the tokens and the end of a submitted sequence. */
 export interface SequenceListener {
   onToken(seq: number, text: string): void;
   onDone(summary: {
@@ -20,16 +20,18 @@
   onFail(reason: 'lease_expired' | 'cancelled' | 'too_large'): void;
 }
 
-/** A request to generate, as the engine receives it. */
+/** A generation request as the engine receives it. */
 export interface SequenceRequest {
   readonly requestId: string;
   readonly prompt: string;
   readonly maxTokens: number;
-  /** Lower runs first; 0 is the most urgent. */
+  /** Priority of the sequence; lower runs first and 0 is the most urgent. */
   readonly priority: number;
-  /** Time after which the KV reservation is released, in ms. */
+  /** Time after which the KV cache reservation is released, in ms. */
   readonly leaseMs: number;
-  /** Set when the request goes on with an answer that broke off elsewhere. */
+  /**
+   * Set when the request resumes an answer that broke off at another engine.
+   */
   readonly resume?: {readonly fromSeq: number; readonly text: string};
 }
 
@@ -43,24 +45,27 @@
   cachedTokens: number;
   prefillLeft: number;
   generated: number;
-  /** Letter that the tokens of this answer begin with. */
+  /** First letter of the tokens of this sequence. */
   readonly letter: string;
   reserved: boolean;
 }
 
-/** Prefill work of one step. */
-interface PrefillRead {
+/** Part of a sequence's prompt that is prefilled in one step. */
+interface PrefillChunk {
   readonly sequence: Sequence;
   readonly tokens: number;
 }
 
-/** Shortest step, in ms. */
+/** Shortest duration of a step, in ms. */
 const MIN_STEP_MS = 1;
 
-/** How soon an engine whose KV cache is full checks again, in ms. */
+/**
+ * Interval at which an engine without running sequences retries to admit
+ * waiting ones, such as when its KV cache is full, in ms.
+ */
 const IDLE_RECHECK_MS = 20;
 
-/** Load figures of one engine. */
+/** Load of one engine. */
 export interface EngineLoad {
   readonly waiting: number;
   readonly running: number;
@@ -71,7 +76,7 @@
 }
 
 /**
- * The scheduler of one engine stand-in.
+ * Scheduler of one engine stand-in.
  *
  * @example
  * const scheduler = new EngineScheduler(resolveEngineOptions({id: 'e1'}));
@@ -79,7 +84,7 @@
  */
 export class EngineScheduler {
   readonly cache: PrefixCache;
-  /** Sequences ever submitted; tests count runs of one request with it. */
+  /** Number of sequences accepted so far, by which tests count runs. */
   submitted = 0;
   private readonly waiting: Sequence[] = [];
   private readonly running: Sequence[] = [];
@@ -90,7 +95,7 @@
     this.cache = new PrefixCache(options.prefixCacheBlocks);
   }
 
-  /** Queues a sequence; returns false when the waiting queue is full. */
+  /** Submits a sequence; returns false when the waiting queue is full. */
   submit(request: SequenceRequest, listener: SequenceListener): boolean {
     if (this.waiting.length >= this.options.maxWaiting) return false;
     this.submitted++;
@@ -113,7 +118,9 @@
     return true;
   }
 
-  /** Cancels a sequence and frees its KV memory; unknown ids are ignored. */
+  /**
+   * Cancels a sequence and frees its KV cache space; unknown ids are ignored.
+   */
   cancel(requestId: string): void {
     const sequence = [...this.waiting, ...this.running].find(
       s => s.request.requestId === requestId,
@@ -123,7 +130,7 @@
     sequence.listener.onFail('cancelled');
   }
 
-  /** Current load, before any reporting lag. */
+  /** Returns the current load, without reporting lag. */
   readLoad(): EngineLoad {
     const all = [...this.waiting, ...this.running];
     return {
@@ -139,7 +146,7 @@
     };
   }
 
-  /** Stops the step timer; sequences are left as they are. */
+  /** Stops the step timer; sequences stay as they are. */
   stop(): void {
     clearTimeout(this.timer);
     this.timer = undefined;
@@ -155,49 +162,52 @@
     this.admitWaiting();
     if (this.running.length === 0) {
       if (this.waiting.length > 0)
-        this.timer = setTimeout(() => this.endIdle(), IDLE_RECHECK_MS);
+        this.timer = setTimeout(() => this.endIdleWait(), IDLE_RECHECK_MS);
       return;
     }
     this.running.sort(compareSequences);
     const decoding = this.running
       .filter(sequence => sequence.prefillLeft === 0)
       .slice(0, this.options.maxBatch);
-    const reads = this.planPrefill();
-    const tokens = reads.reduce((sum, read) => sum + read.tokens, 0);
+    const prefillChunks = this.planPrefill();
+    const tokens = prefillChunks.reduce(
+      (sum, prefillChunk) => sum + prefillChunk.tokens,
+      0,
+    );
     const prefillMs = (tokens / this.options.prefillTokensPerSecond) * 1000;
     const decodeMs = decoding.length > 0 ? this.options.decodeStepMs : 0;
     this.timer = setTimeout(
-      () => this.endStep(reads, decoding),
+      () => this.endStep(prefillChunks, decoding),
       Math.max(MIN_STEP_MS, prefillMs + decodeMs),
     );
   }
 
-  private endIdle(): void {
+  private endIdleWait(): void {
     this.timer = undefined;
     this.startStep();
   }
 
   private endStep(
-    reads: readonly PrefillRead[],
+    prefillChunks: readonly PrefillChunk[],
     decoding: readonly Sequence[],
   ): void {
     this.timer = undefined;
-    const producing = [...decoding];
-    for (const {sequence, tokens} of reads) {
+    const sequencesWithToken = [...decoding];
+    for (const {sequence, tokens} of prefillChunks) {
       sequence.prefillLeft -= tokens;
       if (sequence.prefillLeft > 0) continue;
       this.cache.store(sequence.blocks);
-      producing.push(sequence);
+      sequencesWithToken.push(sequence);
     }
-    for (const sequence of producing) {
+    for (const sequence of sequencesWithToken) {
       if (sequence.reserved) this.sendToken(sequence);
     }
     this.startStep();
   }
 
   /**
-   * Ends sequences whose lease has expired, so that a vanished caller does not
-   * hold KV cache for good.
+   * Ends sequences whose lease has expired, so that the KV cache space of a
+   * disappeared caller is freed.
    */
   private expireLeases(now: number): void {
     for (const sequence of [...this.waiting, ...this.running]) {
@@ -225,7 +235,8 @@
         sequence.promptTokens,
         hits * this.options.blockTokens,
       );
-      // The last token is always prefilled: it produces the first new one.
+      // The last prompt token is always prefilled, as it yields the first
+      // token.
       sequence.prefillLeft = Math.max(
         1,
         sequence.promptTokens - sequence.cachedTokens,
@@ -234,18 +245,21 @@
     }
   }
 
-  /** Shares the step's chunk over the queued prompts, in priority order. */
-  private planPrefill(): PrefillRead[] {
+  /**
+   * Distributes the prefill budget of a step over the prompts, in priority
+   * order.
+   */
+  private planPrefill(): PrefillChunk[] {
     let budget = this.options.prefillChunkTokens;
-    const reads: PrefillRead[] = [];
+    const prefillChunks: PrefillChunk[] = [];
     for (const sequence of this.running) {
       if (budget === 0) break;
       if (sequence.prefillLeft === 0) continue;
       const tokens = Math.min(budget, sequence.prefillLeft);
       budget -= tokens;
-      reads.push({sequence, tokens});
+      prefillChunks.push({sequence, tokens});
     }
-    return reads;
+    return prefillChunks;
   }
 
   private sendToken(sequence: Sequence): void {
@@ -272,7 +286,9 @@
   }
 }
 
-/** A resumed answer keeps its letter. */
+/**
+ * Reads the letter of a resumed answer's tokens, which its further tokens keep.
+ */
 function readTokenLetter(request: SequenceRequest): string | undefined {
   return / (\D)\d+$/.exec(request.resume?.text ?? '')?.[1];
 }
--- a/packages/standins/src/engine/server.ts
+++ b/packages/standins/src/engine/server.ts
@@ -1,7 +1,8 @@
 /**
- * The engine stand-in's HTTP face: `POST /v1/generate` streams tokens as SSE,
- * `GET /v1/load` reports load with a lag, `POST /v1/orders` takes fenced
- * orders, `GET /v1/cache-events` publishes prefix-cache changes late.
+ * HTTP API of the engine stand-in: `POST /v1/generate` streams tokens as SSE,
+ * `GET /v1/load` reports the load with a lag, `POST /v1/orders` accepts orders
+ * with a fencing token, `GET /v1/orders` returns the applied orders, and
+ * `GET /v1/cache-events` returns prefix-cache changes with a delay.
  */
 import {createServer} from 'node:http';
 import {
@@ -15,7 +16,7 @@
 } from '@nutmeggauge/core';
 import {z} from 'zod';
 import {EngineScheduler} from './scheduler.js';
-import {OrderBook} from './orders.js';
+import {OrderHandler} from './orders.js';
 import {resolveEngineOptions} from './options.js';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {EngineLoad} from './scheduler.js';
@@ -25,7 +26,7 @@
 export interface EngineStandIn {
   readonly server: Server;
   readonly scheduler: EngineScheduler;
-  readonly orders: OrderBook;
+  readonly orders: OrderHandler;
   close(): Promise<void>;
 }
 
@@ -44,21 +45,21 @@
   value: z.string(),
 });
 
-/** The routes of one engine, over its scheduler and orders. */
+/** Request handlers of one engine's HTTP API. */
 class EngineApi {
   readonly scheduler: EngineScheduler;
-  readonly orders: OrderBook;
-  private reported: EngineLoad;
+  readonly orders: OrderHandler;
+  private reportedLoad: EngineLoad;
   private readonly lagTimer: NodeJS.Timeout;
   private readonly log = createLogger('engine');
 
   constructor(private readonly options: ResolvedEngineOptions) {
     this.scheduler = new EngineScheduler(options);
-    this.orders = new OrderBook(options.fencing);
-    this.reported = this.scheduler.readLoad();
-    // Load is published with a lag, as by real engines.
+    this.orders = new OrderHandler(options.fencing);
+    this.reportedLoad = this.scheduler.readLoad();
+    // Load is reported with a lag, as by real engines.
     this.lagTimer = setInterval(
-      () => (this.reported = this.scheduler.readLoad()),
+      () => (this.reportedLoad = this.scheduler.readLoad()),
       options.loadLagMs,
     );
   }
@@ -67,7 +68,7 @@
     const url = new URL(req.url ?? '/', 'http://engine');
     switch (`${req.method} ${url.pathname}`) {
       case 'GET /v1/load':
-        sendJson(res, 200, {id: this.options.id, ...this.reported});
+        sendJson(res, 200, {id: this.options.id, ...this.reportedLoad});
         return;
       case 'GET /v1/cache-events':
         this.serveCacheEvents(url, res);
@@ -136,10 +137,10 @@
       sendJson(res, 503, {error: 'overloaded'});
       return;
     }
-    // The log outlives the process.
+    // Logged because the log survives a kill of the process.
     this.log.info('sequence_submitted', {requestId});
     startSse(res);
-    // A caller that disconnects must not hold KV cache.
+    // A disconnected caller must not keep KV cache space reserved.
     res.on('close', () => {
       if (!ended) this.scheduler.cancel(requestId);
     });
--- a/packages/standins/src/host-list/server.ts
+++ b/packages/standins/src/host-list/server.ts
@@ -1,6 +1,6 @@
 /**
- * The host list stand-in: the platform's lagging list of live and leaving
- * hosts. Readers see the list as it was `lagMs` ago.
+ * Stand-in for the platform's list of live and leaving hosts. Readers get the
+ * list as it was `lagMs` ago.
  */
 import {createServer} from 'node:http';
 import {
@@ -12,13 +12,13 @@
 } from '@nutmeggauge/core';
 import type {Server} from 'node:http';
 
-/** One host as the platform lists it. */
+/** One host in the list. */
 export interface HostEntry {
   readonly id: string;
   readonly state: 'live' | 'leaving';
 }
 
-/** A running host list stand-in. */
+/** A running stand-in for the host list. */
 export interface HostListStandIn {
   readonly server: Server;
   setHosts(hosts: readonly HostEntry[]): void;
@@ -26,9 +26,9 @@
 }
 
 /**
- * Starts the host list stand-in.
+ * Starts a stand-in for the host list.
  *
- * @param lagMs - Age of the list that readers get.
+ * @param lagMs - Age of the list that readers get, in ms.
  * @example
  * const hosts = await startHostListStandIn('127.0.0.1', 0, 1000);
  */
--- a/packages/standins/src/plain-service/server.ts
+++ b/packages/standins/src/plain-service/server.ts
@@ -1,7 +1,7 @@
 /**
- * The plain service stand-in: order and stock calls. It does no
- * de-duplication of its own and records every execution, so tests can count
- * doubles of calls that must not be repeated.
+ * Stand-in for a plain service with order and stock calls. The stand-in does
+ * not deduplicate calls and records every execution, so tests can count
+ * duplicate executions of calls that must not be repeated.
  */
 import {createServer} from 'node:http';
 import {
@@ -22,14 +22,14 @@
 }
 
 /**
- * A fault the stand-in shows: `drop-reply` executes the call, then cuts the
- * connection before answering, as a service that dies at the worst moment;
+ * Fault that the stand-in injects: `drop-reply` executes the call, then closes
+ * the connection before answering, like a service that crashes in between;
  * `reject` refuses every call with 429 before executing it; `not-found`
- * answers 404, the service's own answer to the call.
+ * answers 404 as the service's own answer to the call.
  */
 export type PlainServiceFault = 'none' | 'drop-reply' | 'reject' | 'not-found';
 
-/** A running plain service stand-in. */
+/** A running stand-in for a plain service. */
 export interface PlainServiceStandIn {
   readonly server: Server;
   readonly executions: readonly Execution[];
@@ -38,9 +38,9 @@
 }
 
 /**
- * Starts the plain service stand-in.
+ * Starts a stand-in for a plain service.
  *
- * @param latencyMs - Time each call takes before it answers.
+ * @param latencyMs - Time from the execution of a call to its answer, in ms.
  * @example
  * const orders = await startPlainServiceStandIn('127.0.0.1', 0, 20);
  */
@@ -84,7 +84,7 @@
         op: call.op,
         at: Date.now(),
       });
-      // The log outlives the process.
+      // Logged because the log survives a kill of the process.
       log.info('call_executed', {
         requestId: call.requestId,
         ledgerKey: call.ledgerKey,
