--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -192,7 +192,7 @@
     link.handle(RpcMethod.cancel, params =>
       this.dispatchHandler.cancel((params as CancelNotice).requestId),
     );
-    // A gate sends its record when this agent's record stays older.
+    // A gate sends its configuration record when this agent's stays older.
     link.handle(RpcMethod.record, params => this.watcher?.offer(params));
     link.onClose(() => {
       this.links.delete(link);
--- a/packages/agent/src/intake/copies.ts
+++ b/packages/agent/src/intake/copies.ts
@@ -11,7 +11,7 @@
 import type {ChunkReceiver} from './chunk-receiver.js';
 
 /**
- * Duplicates of requests at one agent.
+ * Duplicate requests at one agent and the first runs that they wait for.
  *
  * @example
  * const duplicates = new DuplicateRequests(ledger, counters);
--- a/packages/agent/src/ledger/ledger.ts
+++ b/packages/agent/src/ledger/ledger.ts
@@ -24,9 +24,7 @@
 /** Longest streamed answer that is kept for duplicates, in characters. */
 export const MAX_REPLAY_CHARS = 65_536;
 
-/**
- * Result of `claim` when the ledger already holds `maxEntries` unexpired keys.
- */
+/** Result of `claim` when the ledger holds `maxEntries` unexpired keys. */
 export const LEDGER_FULL = 'full';
 
 /** Options of Ledger. */
@@ -76,7 +74,7 @@
     this.expire(now);
     const existing = this.entries.get(key);
     if (existing !== undefined) return existing;
-    // Without the entry of an unexpired key, a late duplicate could run again.
+    // Evicting an unexpired entry could let a late duplicate run again.
     if (this.entries.size >= this.maxEntries) return LEDGER_FULL;
     this.entries.set(key, {state: 'started', requestId, claimedAt: now});
     return undefined;
@@ -88,9 +86,7 @@
     return this.entries.get(key);
   }
 
-  /**
-   * Records the final outcome of a claimed key and the streamed chunk texts.
-   */
+  /** Records the final outcome of a claimed key and its chunk texts. */
   settle(
     key: string,
     outcome: DispatchOutcome,
@@ -124,9 +120,7 @@
     return this.entries.size;
   }
 
-  /**
-   * Removes entries past retention; the map is in claim order, oldest first.
-   */
+  /** Removes expired entries; the map is in claim order, oldest first. */
   private expire(now: number): void {
     for (const [key, entry] of this.entries) {
       if (entry.claimedAt > now - this.retainMs) break;
--- a/packages/agent/src/ledger/ownership.ts
+++ b/packages/agent/src/ledger/ownership.ts
@@ -36,10 +36,7 @@
 
 interface FormerTargets {
   readonly ids: readonly string[];
-  /**
-   * Time until which the former targets may have received requests, in epoch
-   * ms.
-   */
+  /** Epoch ms until which the former targets may have received requests. */
   readonly until: number;
 }
 
@@ -89,7 +86,7 @@
       return 'not-home';
     const completeSince = this.findCompleteSince(targets, key);
     // A caller sends a key only after minting it, so a key minted after
-    // `completeSince` cannot have run before that. A key without a mint time is
+    // `completeSince` cannot have run before it. A key without a mint time is
     // owned only once any claim of it that this ledger lacks has expired.
     if (mintedAt === undefined)
       return completeSince <= now - this.options.retainMs
@@ -99,10 +96,7 @@
     return mintedAt >= completeSince ? 'owned' : 'forgotten';
   }
 
-  /**
-   * Returns the time since which the ledger holds every claim of `key`, in
-   * epoch ms.
-   */
+  /** Returns the epoch ms since which the ledger holds every claim of `key`. */
   private findCompleteSince(
     targets: PoolTargets | undefined,
     key: string,
--- a/packages/standins/src/config-service/server.ts
+++ b/packages/standins/src/config-service/server.ts
@@ -28,10 +28,7 @@
 /** A running stand-in for the configuration service. */
 export interface ConfigServiceStandIn {
   readonly server: Server;
-  /**
-   * Publishes a record, notifies watchers and returns the version assigned to
-   * it.
-   */
+  /** Publishes a record, notifies watchers and returns its new version. */
   publish(record: Readonly<Record<string, unknown>>): number;
   setMode(mode: ConfigServiceMode): void;
   /** Returns the number of reader requests received so far. */
--- a/packages/standins/src/engine/orders.ts
+++ b/packages/standins/src/engine/orders.ts
@@ -7,10 +7,7 @@
 import {createLogger} from '@nutmeggauge/core';
 import type {FencingMode} from './options.js';
 
-/**
- * An order to the engine; its fencing token must not be lower than earlier
- * ones.
- */
+/** An order to the engine; a lower `fence` than before marks it as outdated. */
 export interface EngineOrder {
   readonly fence: number;
   readonly kind: 'load-model' | 'load-adapters' | 'set-role';
@@ -56,9 +53,8 @@
   }
 
   /**
-   * Describes the applied orders and the setting for `GET /v1/orders`. The
-   * highest fencing token is left out in mode `ignore`, which does not check
-   * it.
+   * Describes the applied orders and the setting for `GET /v1/orders`. Mode
+   * `ignore` reports no highest fencing token, as it checks none.
    */
   describe(): object {
     return {
--- a/packages/standins/src/engine/prefix-cache.ts
+++ b/packages/standins/src/engine/prefix-cache.ts
@@ -58,10 +58,7 @@
 
   constructor(private readonly capacityBlocks: number) {}
 
-  /**
-   * Counts the leading blocks of a prompt that are cached, and marks them as
-   * used.
-   */
+  /** Counts the leading cached blocks of a prompt and marks them as used. */
   countLeadingHits(hashes: readonly string[]): number {
     let hits = 0;
     for (const hash of hashes) {
@@ -90,9 +87,7 @@
     if (removed.length > 0) this.record('removed', removed);
   }
 
-  /**
-   * Returns the events with `seq` above `after` that are at least `lagMs` old.
-   */
+  /** Returns events with `seq` above `after` that are at least `lagMs` old. */
   readEvents(after: number, lagMs: number, now: number): readonly CacheEvent[] {
     return this.events.filter(
       event => event.seq > after && event.at <= now - lagMs,
--- a/packages/standins/src/engine/scheduler.ts
+++ b/packages/standins/src/engine/scheduler.ts
@@ -29,9 +29,7 @@
   readonly priority: number;
   /** Time after which the KV cache reservation is released, in ms. */
   readonly leaseMs: number;
-  /**
-   * Set when the request resumes an answer that broke off at another engine.
-   */
+  /** Set when the request resumes an answer begun by another engine. */
   readonly resume?: {readonly fromSeq: number; readonly text: string};
 }
 
@@ -118,9 +116,7 @@
     return true;
   }
 
-  /**
-   * Cancels a sequence and frees its KV cache space; unknown ids are ignored.
-   */
+  /** Cancels a sequence and frees its KV cache; unknown ids are ignored. */
   cancel(requestId: string): void {
     const sequence = [...this.waiting, ...this.running].find(
       s => s.request.requestId === requestId,
@@ -235,8 +231,7 @@
         sequence.promptTokens,
         hits * this.options.blockTokens,
       );
-      // The last prompt token is always prefilled, as it yields the first
-      // token.
+      // The last prompt token is always prefilled: it yields the first token.
       sequence.prefillLeft = Math.max(
         1,
         sequence.promptTokens - sequence.cachedTokens,
@@ -245,10 +240,7 @@
     }
   }
 
-  /**
-   * Distributes the prefill budget of a step over the prompts, in priority
-   * order.
-   */
+  /** Distributes the step's prefill budget over the prompts by priority. */
   private planPrefill(): PrefillChunk[] {
     let budget = this.options.prefillChunkTokens;
     const prefillChunks: PrefillChunk[] = [];
@@ -286,9 +278,7 @@
   }
 }
 
-/**
- * Reads the letter of a resumed answer's tokens, which its further tokens keep.
- */
+/** Reads the token letter of a resumed answer, which its new tokens keep. */
 function readTokenLetter(request: SequenceRequest): string | undefined {
   return / (\D)\d+$/.exec(request.resume?.text ?? '')?.[1];
 }
