--- a/packages/agent/src/target/engine-target.test.ts
+++ b/packages/agent/src/target/engine-target.test.ts
@@ -52,9 +52,9 @@
   it('reports the stream as broken when a token event lacks its text or sequence number', async () => {
     // Guards against an uncaught error that ends the agent when an engine
     // sends a token event without text.
-    for (const piece of ['{"seq":0}', '{"text":"a"}', 'null', '7', '{}']) {
+    for (const eventData of ['{"seq":0}', '{"text":"a"}', 'null', '7', '{}']) {
       const {outcome, chunkTexts} = await runOnEngine(
-        `data: ${piece}\n\n${DONE}`,
+        `data: ${eventData}\n\n${DONE}`,
       );
       expect(outcome).toEqual({
         status: 'unknown',
@@ -65,8 +65,14 @@
   });
 
   it('reports an unknown outcome when the done event lacks its token counts', async () => {
-    for (const end of ['{}', '{"tokens":null,"cachedTokens":0}', 'null']) {
-      const {outcome} = await runOnEngine(`event: done\ndata: ${end}\n\n`);
+    for (const doneEventData of [
+      '{}',
+      '{"tokens":null,"cachedTokens":0}',
+      'null',
+    ]) {
+      const {outcome} = await runOnEngine(
+        `event: done\ndata: ${doneEventData}\n\n`,
+      );
       expect(outcome.status).toEqual('unknown');
     }
   });
