--- a/packages/nutmeggauge/src/losses/client-attempts.ts
+++ b/packages/nutmeggauge/src/losses/client-attempts.ts
@@ -2,7 +2,7 @@
  * Client attempts, reconstructed from the log lines of gates: one for each
  * arrival of a request at a gate.
  */
-import type {GateLife} from './gate-lives.js';
+import type {GateIncarnation} from './gate-incarnations.js';
 import type {TimelineEvent} from '../timeline/merge.js';
 
 /** The engines of a placement. */
@@ -24,7 +24,7 @@
   /** Outcome as logged, such as `answered` or `too_late`. */
   readonly outcome: string;
   /** Refused before routing. */
-  readonly isEarly: boolean;
+  readonly isRefusedBeforeRouting: boolean;
   readonly status: number | undefined;
   readonly route: string | undefined;
   readonly kind: string | undefined;
@@ -56,7 +56,7 @@
   /** Last line of the gate's life, for a client attempt without an end. */
   readonly lastSeenAt: number;
   /** The gate ended, or fell silent for good, before the client attempt did. */
-  readonly isGateGone: boolean;
+  readonly isLostWithGate: boolean;
 }
 
 /** Events of a client attempt. */
@@ -83,30 +83,30 @@
 const MAX_TOKENS = 1e9;
 
 /** Reads a figure from 0 to `most`; nothing if it is invalid. */
-function readFigure(
+function readNumber(
   line: TimelineEvent,
   field: string,
   most: number,
 ): number | undefined {
   const value = line[field];
-  const isSound = typeof value === 'number' && value >= 0 && value <= most;
-  return isSound ? value : undefined;
+  const isValid = typeof value === 'number' && value >= 0 && value <= most;
+  return isValid ? value : undefined;
 }
 
 function readMs(line: TimelineEvent, field: string): number | undefined {
-  return readFigure(line, field, MAX_DURATION_MS);
+  return readNumber(line, field, MAX_DURATION_MS);
 }
 
 function readTokens(line: TimelineEvent): number | undefined {
-  return readFigure(line, 'tokens', MAX_TOKENS);
+  return readNumber(line, 'tokens', MAX_TOKENS);
 }
 
-function readText(line: TimelineEvent, field: string): string | undefined {
+function readString(line: TimelineEvent, field: string): string | undefined {
   const value = line[field];
   return typeof value === 'string' ? value : undefined;
 }
 
-function readTexts(line: TimelineEvent, field: string): readonly string[] {
+function readStrings(line: TimelineEvent, field: string): readonly string[] {
   const value = line[field];
   return Array.isArray(value)
     ? value.filter((item): item is string => typeof item === 'string')
@@ -114,14 +114,14 @@
 }
 
 function toPlacements(line: TimelineEvent): readonly PlacementRecord[] {
-  const decoder = readText(line, 'decoder');
+  const decoder = readString(line, 'decoder');
   const predictedTtftMs = readMs(line, 'predictedTtftMs');
   if (decoder === undefined || predictedTtftMs === undefined) return [];
   return [
     {
       t: line.t,
       decoder,
-      helpers: readTexts(line, 'helpers'),
+      helpers: readStrings(line, 'helpers'),
       predictedTtftMs,
       factsAgeMs: readMs(line, 'factsAgeMs') ?? 0,
       tokens: readTokens(line),
@@ -130,15 +130,17 @@
 }
 
 function toEnd(line: TimelineEvent): AttemptEnd {
-  const isEarly = line.event === 'request_refused';
+  const isRefusedBeforeRouting = line.event === 'request_refused';
   return {
     t: line.t,
-    isEarly,
-    outcome: readText(line, isEarly ? 'reason' : 'outcome') ?? 'unknown',
-    status: readFigure(line, 'status', MAX_STATUS),
-    route: readText(line, 'route'),
-    kind: readText(line, 'kind'),
-    target: readText(line, 'target'),
+    isRefusedBeforeRouting,
+    outcome:
+      readString(line, isRefusedBeforeRouting ? 'reason' : 'outcome') ??
+      'unknown',
+    status: readNumber(line, 'status', MAX_STATUS),
+    route: readString(line, 'route'),
+    kind: readString(line, 'kind'),
+    target: readString(line, 'target'),
     tokens: readTokens(line),
     ttftMs: readMs(line, 'ttftMs'),
     maxItlMs: readMs(line, 'maxItlMs'),
@@ -147,7 +149,7 @@
 }
 
 function buildAttempt(
-  life: GateLife,
+  gateIncarnation: GateIncarnation,
   lines: readonly TimelineEvent[],
   endLine: TimelineEvent | undefined,
   span: LogSpan,
@@ -155,22 +157,23 @@
   const end = endLine === undefined ? undefined : toEnd(endLine);
   const pick = (event: string) => lines.filter(line => line.event === event);
   return {
-    proc: life.proc,
-    requestId: readText(lines[0], 'requestId'),
+    proc: gateIncarnation.proc,
+    requestId: readString(lines[0], 'requestId'),
     arrivedAt: end === undefined ? lines[0].t : end.t - end.ms,
     placements: pick('stream_placed').flatMap(toPlacements),
     deferredAt: pick('stream_deferred').map(({t}) => t),
     failures: pick('attempt_failed').map(line => ({
       t: line.t,
-      target: readText(line, 'target') ?? '',
+      target: readString(line, 'target') ?? '',
     })),
     end,
-    lastSeenAt: readLastStamp(life.lines),
-    isGateGone: end === undefined && isGateGone(life, lines, span),
+    lastSeenAt: readLastTimestamp(gateIncarnation.lines),
+    isLostWithGate:
+      end === undefined && isLostWithGate(gateIncarnation, lines, span),
   };
 }
 
-function readLastStamp(lines: readonly TimelineEvent[]): number {
+function readLastTimestamp(lines: readonly TimelineEvent[]): number {
   return lines[lines.length - 1].t;
 }
 
@@ -178,25 +181,27 @@
  * Assumed longest duration of a request, in ms, unless the log shows a longer
  * one.
  */
-const USUAL_LIMIT_MS = 10_000;
+const DEFAULT_LONGEST_REQUEST_MS = 10_000;
 
 /** Range of all logs. */
 interface LogSpan {
   /** Last timestamp of any gate, in ms. */
-  readonly endsAt: number;
+  readonly lastTimestamp: number;
   /** Longest duration of a request, in ms. */
-  readonly longestMs: number;
+  readonly longestRequestMs: number;
 }
 
-function readSpan(lives: readonly GateLife[]): LogSpan {
-  let endsAt = 0;
-  let longestMs = USUAL_LIMIT_MS;
-  for (const line of lives.flatMap(life => life.lines)) {
-    endsAt = Math.max(endsAt, line.t);
+function readLogSpan(incarnations: readonly GateIncarnation[]): LogSpan {
+  let lastTimestamp = 0;
+  let longestRequestMs = DEFAULT_LONGEST_REQUEST_MS;
+  for (const line of incarnations.flatMap(
+    gateIncarnation => gateIncarnation.lines,
+  )) {
+    lastTimestamp = Math.max(lastTimestamp, line.t);
     if (line.event === 'request_ended')
-      longestMs = Math.max(longestMs, readMs(line, 'ms') ?? 0);
+      longestRequestMs = Math.max(longestRequestMs, readMs(line, 'ms') ?? 0);
   }
-  return {endsAt, longestMs};
+  return {lastTimestamp, longestRequestMs};
 }
 
 /**
@@ -204,37 +209,44 @@
  * line is older than any request lasts, its end was dropped from the log
  * instead.
  */
-function isGateGone(
-  life: GateLife,
+function isLostWithGate(
+  gateIncarnation: GateIncarnation,
   lines: readonly TimelineEvent[],
-  {endsAt, longestMs}: LogSpan,
+  {lastTimestamp, longestRequestMs}: LogSpan,
 ): boolean {
-  const lastAt = readLastStamp(life.lines);
-  if (lastAt - readLastStamp(lines) > longestMs) return false;
-  return life.isOver || endsAt - lastAt > longestMs;
+  const lastAt = readLastTimestamp(gateIncarnation.lines);
+  if (lastAt - readLastTimestamp(lines) > longestRequestMs) return false;
+  return (
+    gateIncarnation.hasSuccessor || lastTimestamp - lastAt > longestRequestMs
+  );
 }
 
-function listAttemptsOfLife(
-  life: GateLife,
+function listAttemptsOfIncarnation(
+  gateIncarnation: GateIncarnation,
   span: LogSpan,
 ): readonly ClientAttempt[] {
   const open = new Map<string, TimelineEvent[]>();
   const attempts: ClientAttempt[] = [];
-  for (const line of life.lines) {
+  for (const line of gateIncarnation.lines) {
     if (!ATTEMPT_EVENTS.has(line.event)) continue;
-    const id = readText(line, 'requestId');
+    const id = readString(line, 'requestId');
     const lines = [...(open.get(id ?? '') ?? []), line];
     const isEnd =
       line.event === 'request_ended' || line.event === 'request_refused';
     if (isEnd) {
       open.delete(id ?? '');
       attempts.push(
-        buildAttempt(life, id === undefined ? [line] : lines, line, span),
+        buildAttempt(
+          gateIncarnation,
+          id === undefined ? [line] : lines,
+          line,
+          span,
+        ),
       );
     } else if (id !== undefined) open.set(id, lines);
   }
   for (const lines of open.values())
-    attempts.push(buildAttempt(life, lines, undefined, span));
+    attempts.push(buildAttempt(gateIncarnation, lines, undefined, span));
   return attempts;
 }
 
@@ -245,10 +257,12 @@
  * listClientAttempts(readGateLogs(['all.log']).lives).length;
  */
 export function listClientAttempts(
-  lives: readonly GateLife[],
+  incarnations: readonly GateIncarnation[],
 ): readonly ClientAttempt[] {
-  const span = readSpan(lives);
-  return lives.flatMap(life => listAttemptsOfLife(life, span));
+  const span = readLogSpan(incarnations);
+  return incarnations.flatMap(gateIncarnation =>
+    listAttemptsOfIncarnation(gateIncarnation, span),
+  );
 }
 
 /** A request with all its client attempts, by time of arrival. */
@@ -275,16 +289,16 @@
   attempts: readonly ClientAttempt[],
 ): readonly RequestRecord[] {
   const byId = new Map<string, ClientAttempt[]>();
-  const nameless: RequestRecord[] = [];
+  const withoutId: RequestRecord[] = [];
   for (const attempt of attempts) {
     const {requestId} = attempt;
     if (requestId === undefined)
-      nameless.push({requestId, attempts: [attempt], attempt});
+      withoutId.push({requestId, attempts: [attempt], attempt});
     else byId.set(requestId, [...(byId.get(requestId) ?? []), attempt]);
   }
-  const named = [...byId].map(([requestId, own]) => {
-    const sorted = own.sort((a, b) => a.arrivedAt - b.arrivedAt);
+  const withId = [...byId].map(([requestId, ownAttempts]) => {
+    const sorted = ownAttempts.sort((a, b) => a.arrivedAt - b.arrivedAt);
     return {requestId, attempts: sorted, attempt: pickAttempt(sorted)};
   });
-  return [...named, ...nameless];
+  return [...withId, ...withoutId];
 }
--- a/packages/nutmeggauge/src/losses/engine-activity.ts
+++ b/packages/nutmeggauge/src/losses/engine-activity.ts
@@ -8,12 +8,12 @@
  */
 export interface ActivitySpan {
   readonly engine: string;
-  readonly work: 'prefill' | 'decode';
+  readonly phase: 'prefill' | 'decode';
   /** Wall clock of the gate, in ms. */
   readonly from: number;
   readonly to: number;
   /** Belongs to the selected prompt. */
-  readonly isMarked: boolean;
+  readonly isSelected: boolean;
 }
 
 /** Engines around one prompt. */
@@ -27,7 +27,7 @@
 }
 
 /** Time shown before and after the prompt, in ms. */
-const AROUND_MS = 1000;
+const PLOT_MARGIN_MS = 1000;
 
 /**
  * Picks the prompt to show: the largest late one, or else the largest.
@@ -45,36 +45,38 @@
 }
 
 /** End of a client attempt, as far as the log shows. */
-function readEndAt({end, lastSeenAt}: ClientAttempt): number {
+function resolveEndAt({end, lastSeenAt}: ClientAttempt): number {
   return end?.t ?? lastSeenAt;
 }
 
 /** Spans of each placement of a client attempt. */
 function listSpans(
   attempt: ClientAttempt,
-  isMarked: boolean,
+  isSelected: boolean,
 ): readonly ActivitySpan[] {
   const {placements, failures, arrivedAt, end} = attempt;
-  const endAt = readEndAt(attempt);
-  const firstAt =
+  const endAt = resolveEndAt(attempt);
+  const firstTokenAt =
     end?.ttftMs === undefined ? undefined : arrivedAt + end.ttftMs;
   return placements.flatMap(({t, decoder, helpers}, i) => {
-    const next = placements.at(i + 1)?.t ?? endAt;
-    const failedAt = failures.find(failure => failure.t >= t)?.t ?? next;
-    const to = Math.min(next, failedAt);
-    const readTo = firstAt === undefined ? to : Math.min(to, firstAt);
+    const nextPlacementAt = placements.at(i + 1)?.t ?? endAt;
+    const failedAt =
+      failures.find(failure => failure.t >= t)?.t ?? nextPlacementAt;
+    const to = Math.min(nextPlacementAt, failedAt);
+    const prefillEndAt =
+      firstTokenAt === undefined ? to : Math.min(to, firstTokenAt);
     const prefill = [decoder, ...helpers].map(engine => ({
       engine,
-      work: 'prefill' as const,
+      phase: 'prefill' as const,
       from: t,
-      to: Math.max(t, readTo),
-      isMarked,
+      to: Math.max(t, prefillEndAt),
+      isSelected,
     }));
-    if (firstAt === undefined || to <= firstAt) return prefill;
-    const from = Math.max(t, firstAt);
+    if (firstTokenAt === undefined || to <= firstTokenAt) return prefill;
+    const from = Math.max(t, firstTokenAt);
     return [
       ...prefill,
-      {engine: decoder, work: 'decode' as const, from, to, isMarked},
+      {engine: decoder, phase: 'decode' as const, from, to, isSelected},
     ];
   });
 }
@@ -89,13 +91,15 @@
   requests: readonly JudgedRequest[],
   request: JudgedRequest,
 ): EngineActivity {
-  const from = request.attempt.arrivedAt - AROUND_MS;
-  const to = readEndAt(request.attempt) + AROUND_MS;
+  const from = request.attempt.arrivedAt - PLOT_MARGIN_MS;
+  const to = resolveEndAt(request.attempt) + PLOT_MARGIN_MS;
   const spans = requests
     .flatMap(({attempt}) => listSpans(attempt, attempt === request.attempt))
     .filter(span => span.to >= from && span.from <= to);
-  const own = spans.filter(({isMarked}) => isMarked);
+  const selectedSpans = spans.filter(({isSelected}) => isSelected);
   const others = spans.map(({engine}) => engine).sort();
-  const engines = [...new Set([...own.map(({engine}) => engine), ...others])];
+  const engines = [
+    ...new Set([...selectedSpans.map(({engine}) => engine), ...others]),
+  ];
   return {request, from, to, engines, spans};
 }
--- a/packages/nutmeggauge/src/losses/gate-gaps.ts
+++ b/packages/nutmeggauge/src/losses/gate-gaps.ts
@@ -3,7 +3,7 @@
  * `gate_started`. What would have arrived is estimated from the gate's usual
  * load.
  */
-import type {GateLife} from './gate-lives.js';
+import type {GateIncarnation} from './gate-incarnations.js';
 import type {JudgedRequest} from './judge-request.js';
 
 /** One time without a gate. */
@@ -24,15 +24,17 @@
 export type WorthRates = ReadonlyMap<string, number>;
 
 /** Time for which a gate logged, in ms. */
-function sumServedMs(lives: readonly GateLife[]): number {
+function sumServedMs(incarnations: readonly GateIncarnation[]): number {
   let sum = 0;
-  for (const {lines} of lives)
+  for (const {lines} of incarnations)
     sum += Math.max(0, lines[lines.length - 1].t - lines[0].t);
   return sum;
 }
 
-function listProcs(lives: readonly GateLife[]): readonly string[] {
-  return [...new Set(lives.map(({proc}) => proc))];
+function listProcs(
+  incarnations: readonly GateIncarnation[],
+): readonly string[] {
+  return [...new Set(incarnations.map(({proc}) => proc))];
 }
 
 /**
@@ -42,16 +44,18 @@
  * estimateRates(lives, requests).get('gate-1');
  */
 export function estimateRates(
-  lives: readonly GateLife[],
+  incarnations: readonly GateIncarnation[],
   requests: readonly JudgedRequest[],
 ): WorthRates {
-  const worths = new Map<string, number>();
+  const worthByProc = new Map<string, number>();
   for (const {attempt, worth} of requests)
-    worths.set(attempt.proc, (worths.get(attempt.proc) ?? 0) + worth);
+    worthByProc.set(attempt.proc, (worthByProc.get(attempt.proc) ?? 0) + worth);
   return new Map(
-    listProcs(lives).map(proc => {
-      const servedMs = sumServedMs(lives.filter(life => life.proc === proc));
-      const worth = worths.get(proc) ?? 0;
+    listProcs(incarnations).map(proc => {
+      const servedMs = sumServedMs(
+        incarnations.filter(gateIncarnation => gateIncarnation.proc === proc),
+      );
+      const worth = worthByProc.get(proc) ?? 0;
       return [proc, servedMs > 0 ? worth / servedMs : 0];
     }),
   );
@@ -64,34 +68,35 @@
  * listGaps(lives, estimateRates(lives, requests));
  */
 export function listGaps(
-  lives: readonly GateLife[],
+  incarnations: readonly GateIncarnation[],
   rates: WorthRates,
 ): readonly GateGap[] {
-  return listProcs(lives).flatMap(proc =>
-    listGapsOf(
-      lives.filter(life => life.proc === proc),
+  return listProcs(incarnations).flatMap(proc =>
+    listGapsOfGate(
+      incarnations.filter(gateIncarnation => gateIncarnation.proc === proc),
       rates.get(proc) ?? 0,
     ),
   );
 }
 
-function listGapsOf(
-  lives: readonly GateLife[],
+function listGapsOfGate(
+  incarnations: readonly GateIncarnation[],
   rate: number,
 ): readonly GateGap[] {
   const gaps: GateGap[] = [];
-  let before: GateLife | undefined;
-  for (const life of lives) {
+  let before: GateIncarnation | undefined;
+  for (const gateIncarnation of incarnations) {
     // After a failed start the gap continues.
-    if (before !== undefined && life.servesFrom === undefined) continue;
-    if (before !== undefined && life.servesFrom !== undefined)
-      gaps.push(buildGap(before, life.servesFrom, rate));
-    before = life;
+    if (before !== undefined && gateIncarnation.servesFrom === undefined)
+      continue;
+    if (before !== undefined && gateIncarnation.servesFrom !== undefined)
+      gaps.push(buildGap(before, gateIncarnation.servesFrom, rate));
+    before = gateIncarnation;
   }
   return gaps;
 }
 
-function buildGap(before: GateLife, to: number, rate: number): GateGap {
+function buildGap(before: GateIncarnation, to: number, rate: number): GateGap {
   const {proc, hasDrained, lines} = before;
   const from = lines[lines.length - 1].t;
   const ms = Math.max(0, to - from);
--- a/packages/nutmeggauge/src/losses/gate-lives.test.ts
+++ b/packages/nutmeggauge/src/losses/gate-incarnations.test.ts
@@ -2,30 +2,30 @@
 import {expect} from 'earl';
 import {InputFileError} from '../cli/errors.js';
 import {buildEnded, buildLine, T0, writeLog} from '../test/gate-lines.js';
-import {readGateLogs} from './gate-lives.js';
+import {readGateLogs} from './gate-incarnations.js';
 
-const STARTED = buildLine(0, 'gate_started');
-const STARTING = {level: 'info', event: 'program_starting'};
+const GATE_STARTED_LINE = buildLine(0, 'gate_started');
+const PROGRAM_STARTING_LINE = {level: 'info', event: 'program_starting'};
 
-function readLives(lines: Parameters<typeof writeLog>[0]) {
+function readLog(lines: Parameters<typeof writeLog>[0]) {
   return readGateLogs([writeLog(lines)]);
 }
 
 /** Summary of each life. */
-function describeLives(logs: ReturnType<typeof readGateLogs>) {
-  return logs.lives.map(({proc, lines, servesFrom, isOver}) => ({
+function describeIncarnations(logs: ReturnType<typeof readGateLogs>) {
+  return logs.incarnations.map(({proc, lines, servesFrom, hasSuccessor}) => ({
     proc,
     events: lines.map(({event}) => event),
     from: servesFrom === undefined ? undefined : servesFrom - T0,
-    isOver,
+    hasSuccessor,
   }));
 }
 
 describe('reading of gates’ logs', () => {
   it('ignores incomplete lines and counts them', () => {
     // Guards against foreign and truncated lines in collected logs.
-    const logs = readLives([
-      STARTED,
+    const logs = readLog([
+      GATE_STARTED_LINE,
       'Error: boom { at x }',
       '    at file.js:1',
       '{"t": "late", "proc": "g1", "event": "request_ended"}',
@@ -34,7 +34,7 @@
       buildEnded(500, 'q'),
       JSON.stringify(buildEnded(900, 'r')).slice(0, 40),
     ]);
-    expect(logs.lives[0].lines.map(({event}) => event)).toEqual([
+    expect(logs.incarnations[0].lines.map(({event}) => event)).toEqual([
       'gate_started',
       'request_ended',
     ]);
@@ -44,74 +44,76 @@
 
   it('ignores a timestamp that no clock shows', () => {
     // Guards against a corrupt timestamp that cannot be printed as a date.
-    const logs = readLives([STARTED, {...STARTED, t: 9e15}]);
+    const logs = readLog([GATE_STARTED_LINE, {...GATE_STARTED_LINE, t: 9e15}]);
     expect(logs.foreignLines).toEqual(1);
   });
 
   it('reads behind prefixes, and apart by their hosts', () => {
     // Guards against attributing the first line of a process to the wrong host.
-    const place = (host: string, line: object) =>
+    const prefixWithHost = (host: string, line: object) =>
       `  12.3456 ${host} ${JSON.stringify(line)}`;
-    const second = {...STARTED, proc: 'g2'};
-    const logs = readLives([
-      place('h1', STARTED),
-      place('h2', second),
-      place('h1', STARTING),
-      place('h2', {...second, t: T0 + 10, event: 'config_applied'}),
-      place('h1', {...STARTED, t: T0 + 900}),
+    const startedG2 = {...GATE_STARTED_LINE, proc: 'g2'};
+    const logs = readLog([
+      prefixWithHost('h1', GATE_STARTED_LINE),
+      prefixWithHost('h2', startedG2),
+      prefixWithHost('h1', PROGRAM_STARTING_LINE),
+      prefixWithHost('h2', {...startedG2, t: T0 + 10, event: 'config_applied'}),
+      prefixWithHost('h1', {...GATE_STARTED_LINE, t: T0 + 900}),
     ]);
-    expect(describeLives(logs)).toEqual([
-      {proc: 'g1', events: ['gate_started'], from: 0, isOver: true},
-      {proc: 'g1', events: ['gate_started'], from: 900, isOver: false},
+    expect(describeIncarnations(logs)).toEqual([
+      {proc: 'g1', events: ['gate_started'], from: 0, hasSuccessor: true},
+      {proc: 'g1', events: ['gate_started'], from: 900, hasSuccessor: false},
       {
         proc: 'g2',
         events: ['gate_started', 'config_applied'],
         from: 0,
-        isOver: false,
+        hasSuccessor: false,
       },
     ]);
   });
 
   it('begins a life before its gate has started', () => {
     // Guards against splitting a life at a line that precedes its listeners.
-    const logs = readLives([
-      STARTING,
-      STARTED,
-      STARTING,
+    const logs = readLog([
+      PROGRAM_STARTING_LINE,
+      GATE_STARTED_LINE,
+      PROGRAM_STARTING_LINE,
       buildLine(890, 'config_applied'),
       buildLine(900, 'gate_started'),
     ]);
-    expect(describeLives(logs)).toEqual([
-      {proc: 'g1', events: ['gate_started'], from: 0, isOver: true},
+    expect(describeIncarnations(logs)).toEqual([
+      {proc: 'g1', events: ['gate_started'], from: 0, hasSuccessor: true},
       {
         proc: 'g1',
         events: ['config_applied', 'gate_started'],
         from: 900,
-        isOver: false,
+        hasSuccessor: false,
       },
     ]);
   });
 
   it('does not guess whose first line it is in a file of several', () => {
     // Guards against attributing first lines without a prefix to any gate.
-    const logs = readLives([
-      STARTED,
-      {...STARTED, proc: 'g2'},
-      STARTING,
+    const logs = readLog([
+      GATE_STARTED_LINE,
+      {...GATE_STARTED_LINE, proc: 'g2'},
+      PROGRAM_STARTING_LINE,
       buildLine(5, 'config_applied'),
       buildLine(900, 'gate_started'),
     ]);
-    expect(describeLives(logs).map(({from}) => from)).toEqual([0, 900, 0]);
+    expect(describeIncarnations(logs).map(({from}) => from)).toEqual([
+      0, 900, 0,
+    ]);
   });
 
   it('keeps the order of the file where a clock is set back', () => {
     // Guards against reordering lines when a clock is set back.
-    const logs = readLives([
-      STARTED,
+    const logs = readLog([
+      GATE_STARTED_LINE,
       buildLine(70_000, 'config_applied'),
       buildEnded(10_000, 'q'),
     ]);
-    expect(logs.lives[0].lines.map(({t}) => t - T0)).toEqual([
+    expect(logs.incarnations[0].lines.map(({t}) => t - T0)).toEqual([
       0, 70_000, 10_000,
     ]);
     expect(logs.clockSteps).toEqual({g1: 1});
@@ -119,30 +121,30 @@
 
   it('counts a line once that stands in two files', () => {
     // Guards against counting requests twice when logs are given twice.
-    const lines = [STARTED, buildEnded(500, 'q')];
+    const lines = [GATE_STARTED_LINE, buildEnded(500, 'q')];
     const logs = readGateLogs([writeLog(lines), writeLog(lines)]);
-    expect(logs.lives.length).toEqual(1);
-    expect(logs.lives[0].lines.length).toEqual(2);
+    expect(logs.incarnations.length).toEqual(1);
+    expect(logs.incarnations[0].lines.length).toEqual(2);
     expect(logs.repeatedLines).toEqual(2);
   });
 
   it('counts equal lines of one file as many events', () => {
     // Two callers without ids, refused in the same ms.
     const refused = buildLine(7, 'request_refused', {reason: 'stopping'});
-    const logs = readLives([STARTED, refused, refused]);
-    expect(logs.lives[0].lines.length).toEqual(3);
+    const logs = readLog([GATE_STARTED_LINE, refused, refused]);
+    expect(logs.incarnations[0].lines.length).toEqual(3);
     expect(logs.repeatedLines).toEqual(0);
   });
 
   it('puts the files of one gate in order', () => {
     // Guards against rotated logs that sort after newer ones by name.
-    const older = writeLog([STARTED, buildEnded(500, 'q')]);
+    const older = writeLog([GATE_STARTED_LINE, buildEnded(500, 'q')]);
     const newer = writeLog([
       buildLine(900, 'gate_started'),
       buildEnded(1500, 'r'),
     ]);
     const logs = readGateLogs([newer, older]);
-    expect(describeLives(logs).map(({from}) => from)).toEqual([0, 900]);
+    expect(describeIncarnations(logs).map(({from}) => from)).toEqual([0, 900]);
     expect(logs.clockSteps).toEqual({});
   });
 
@@ -154,7 +156,7 @@
       'cannot be read',
     );
     for (const text of ['', 'no json', '{"t":1,"proc":"e","event":"x"}'])
-      expect(() => readLives([text])).toThrow(
+      expect(() => readLog([text])).toThrow(
         InputFileError,
         'no line of a gate',
       );
--- a/packages/nutmeggauge/src/losses/gate-lives.ts
+++ b/packages/nutmeggauge/src/losses/gate-incarnations.ts
@@ -3,12 +3,12 @@
  * Lines keep the order of their file, as the clock may be set back.
  */
 import {InputFileError} from '../cli/errors.js';
-import {FIRST_EVENT, readSourcedLines} from './sourced-lines.js';
+import {PROGRAM_STARTING, readSourcedLines} from './sourced-lines.js';
 import type {TimelineEvent} from '../timeline/merge.js';
 import type {SourcedLine} from './sourced-lines.js';
 
 /** The lines of a gate between two starts of its process. */
-export interface GateLife {
+export interface GateIncarnation {
   readonly proc: string;
   readonly lines: readonly TimelineEvent[];
   /** When it began to serve; absent if unknown or if the start failed. */
@@ -16,13 +16,13 @@
   /** It logged the end of its drain. */
   readonly hasDrained: boolean;
   /** Another life follows in the log. */
-  readonly isOver: boolean;
+  readonly hasSuccessor: boolean;
 }
 
 /** Parsed lines, and counts of the ignored ones. */
 export interface GateLogs {
   readonly files: readonly string[];
-  readonly lives: readonly GateLife[];
+  readonly incarnations: readonly GateIncarnation[];
   /** Lines with a `{` but no complete JSON object. */
   readonly malformedLines: number;
   /** JSON lines that are not a gate's. */
@@ -49,74 +49,81 @@
 ]);
 
 /** Collects the lines of one life. */
-class LifeBuilder {
+class IncarnationBuilder {
   readonly lines: TimelineEvent[] = [];
   servesFrom: number | undefined;
-  isOver = false;
+  hasSuccessor = false;
 
   constructor(readonly proc: string) {}
 
-  build(): GateLife {
-    const {proc, lines, servesFrom, isOver} = this;
+  build(): GateIncarnation {
+    const {proc, lines, servesFrom, hasSuccessor} = this;
     const hasDrained = lines.some(({event}) => event === 'drain_finished');
-    return {proc, lines, servesFrom, isOver, hasDrained};
+    return {proc, lines, servesFrom, hasSuccessor, hasDrained};
   }
 }
 
 /** Groups lines into lives. */
-class LivesReader {
-  private readonly lives = new Map<string, LifeBuilder[]>();
+class IncarnationCollector {
+  private readonly buildersByProc = new Map<string, IncarnationBuilder[]>();
   /** Sources whose process has only logged that it starts. */
-  private readonly starting = new Set<string>();
+  private readonly startingSources = new Set<string>();
 
   add({source, event}: SourcedLine): void {
-    if (event === FIRST_EVENT) {
-      this.starting.add(source);
+    if (event === PROGRAM_STARTING) {
+      this.startingSources.add(source);
       return;
     }
     const isStart = event.event === 'gate_started';
-    const current = this.lives.get(event.proc)?.at(-1);
+    const current = this.buildersByProc.get(event.proc)?.at(-1);
     const isNew =
-      this.starting.delete(source) ||
+      this.startingSources.delete(source) ||
       current === undefined ||
       (isStart && current.servesFrom !== undefined);
-    const life = isNew ? this.begin(event.proc) : current;
-    if (isStart) life.servesFrom = event.t;
-    life.lines.push(event);
+    const builder = isNew ? this.begin(event.proc) : current;
+    if (isStart) builder.servesFrom = event.t;
+    builder.lines.push(event);
   }
 
-  list(): readonly GateLife[] {
-    return [...this.lives.values()].flat().map(life => life.build());
+  list(): readonly GateIncarnation[] {
+    return [...this.buildersByProc.values()]
+      .flat()
+      .map(builder => builder.build());
   }
 
-  private begin(proc: string): LifeBuilder {
-    const lives = this.lives.get(proc) ?? [];
-    const before = lives.at(-1);
-    if (before !== undefined) before.isOver = true;
-    const life = new LifeBuilder(proc);
-    this.lives.set(proc, [...lives, life]);
-    return life;
+  private begin(proc: string): IncarnationBuilder {
+    const previousBuilders = this.buildersByProc.get(proc) ?? [];
+    const before = previousBuilders.at(-1);
+    if (before !== undefined) before.hasSuccessor = true;
+    const builder = new IncarnationBuilder(proc);
+    this.buildersByProc.set(proc, [...previousBuilders, builder]);
+    return builder;
   }
 }
 
 /** Sources with a single process: its first line needs no name. */
-function listOwnSources(lines: readonly SourcedLine[]): ReadonlySet<string> {
+function listSingleProcessSources(
+  lines: readonly SourcedLine[],
+): ReadonlySet<string> {
   const procs = new Map<string, Set<string>>();
   for (const {source, event} of lines) {
-    if (event === FIRST_EVENT) continue;
+    if (event === PROGRAM_STARTING) continue;
     procs.set(source, (procs.get(source) ?? new Set()).add(event.proc));
   }
-  const own = [...procs].filter(([, names]) => names.size === 1);
-  return new Set(own.map(([source]) => source));
+  const singleProcess = [...procs].filter(([, names]) => names.size === 1);
+  return new Set(singleProcess.map(([source]) => source));
 }
 
-function countClockSteps(lives: readonly GateLife[]): Record<string, number> {
-  const last = new Map<string, number>();
+function countClockSteps(
+  incarnations: readonly GateIncarnation[],
+): Record<string, number> {
+  const lastTimestamps = new Map<string, number>();
   const steps: Record<string, number> = {};
-  for (const {proc, lines} of lives) {
+  for (const {proc, lines} of incarnations) {
     for (const {t} of lines) {
-      if (t < (last.get(proc) ?? t)) steps[proc] = (steps[proc] ?? 0) + 1;
-      last.set(proc, t);
+      if (t < (lastTimestamps.get(proc) ?? t))
+        steps[proc] = (steps[proc] ?? 0) + 1;
+      lastTimestamps.set(proc, t);
     }
   }
   return steps;
@@ -125,38 +132,42 @@
 /** Gates that wrote the lines. */
 function listGates(lines: readonly SourcedLine[]): ReadonlySet<string> {
   const events = lines.flatMap(({event}) =>
-    event === FIRST_EVENT ? [] : event,
+    event === PROGRAM_STARTING ? [] : event,
   );
   return new Set(
     events.filter(({event}) => GATE_EVENTS.has(event)).map(({proc}) => proc),
   );
 }
 
-function readLives(
+function buildIncarnations(
   lines: readonly SourcedLine[],
   gates: ReadonlySet<string>,
-): readonly GateLife[] {
-  const own = listOwnSources(lines);
-  const reader = new LivesReader();
+): readonly GateIncarnation[] {
+  const singleProcessSources = listSingleProcessSources(lines);
+  const collector = new IncarnationCollector();
   for (const line of lines) {
     const {event, source} = line;
-    if (event === FIRST_EVENT ? own.has(source) : gates.has(event.proc))
-      reader.add(line);
+    if (
+      event === PROGRAM_STARTING
+        ? singleProcessSources.has(source)
+        : gates.has(event.proc)
+    )
+      collector.add(line);
   }
-  return reader.list();
+  return collector.list();
 }
 
 /** Lines that gates reported as dropped. */
-function countDropped(lives: readonly GateLife[]): number {
-  return lives
-    .flatMap(life => life.lines)
+function countDropped(incarnations: readonly GateIncarnation[]): number {
+  return incarnations
+    .flatMap(gateIncarnation => gateIncarnation.lines)
     .filter(({event}) => event === 'log_lines_dropped')
     .map(({lines}) => (typeof lines === 'number' ? lines : 0))
     .reduce((sum, lines) => sum + lines, 0);
 }
 
-function isOfOther({event}: SourcedLine, gates: ReadonlySet<string>): boolean {
-  return event !== FIRST_EVENT && !gates.has(event.proc);
+function isForeign({event}: SourcedLine, gates: ReadonlySet<string>): boolean {
+  return event !== PROGRAM_STARTING && !gates.has(event.proc);
 }
 
 /**
@@ -175,15 +186,15 @@
       {info: {files}},
       `${files.join(', ')}: no line of a gate's decision log`,
     );
-  const lives = readLives(lines, gates);
-  const ofOthers = lines.filter(line => isOfOther(line, gates)).length;
+  const incarnations = buildIncarnations(lines, gates);
+  const foreignEvents = lines.filter(line => isForeign(line, gates)).length;
   return {
     files,
-    lives,
+    incarnations,
     malformedLines,
-    foreignLines: foreignLines + ofOthers,
+    foreignLines: foreignLines + foreignEvents,
     repeatedLines,
-    droppedLines: countDropped(lives),
-    clockSteps: countClockSteps(lives),
+    droppedLines: countDropped(incarnations),
+    clockSteps: countClockSteps(incarnations),
   };
 }
--- a/packages/nutmeggauge/src/losses/judge-request.test.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.test.ts
@@ -7,7 +7,7 @@
   T0,
   writeLog,
 } from '../test/gate-lines.js';
-import {readGateLogs} from './gate-lives.js';
+import {readGateLogs} from './gate-incarnations.js';
 import {judgeRequests} from './summarize-losses.js';
 import type {LineFields} from '../test/gate-lines.js';
 
@@ -15,7 +15,7 @@
   routes: {chat: {ttftMs: 300, itlMs: 250}, orders: {ttftMs: 200}},
 };
 
-function judge(lines: readonly LineFields[]) {
+function judgeLog(lines: readonly LineFields[]) {
   const logs = readGateLogs([
     writeLog([buildLine(0, 'gate_started'), ...lines]),
   ]);
@@ -23,8 +23,8 @@
 }
 
 /** Cause of the only request of a log. */
-function judgeOne(lines: readonly LineFields[]) {
-  const requests = judge(lines);
+function judgeSingle(lines: readonly LineFields[]) {
+  const requests = judgeLog(lines);
   expect(requests.length).toEqual(1);
   return requests[0];
 }
@@ -33,7 +33,7 @@
   it('tells a misprediction from a late answer that was forecast', () => {
     // Guards against blaming the prediction for the time that a prompt was
     // deferred.
-    const mispredicted = judgeOne([
+    const mispredicted = judgeSingle([
       buildPlaced(10, 'q'),
       buildEnded(900, 'q', {ms: 900, ttftMs: 600}),
     ]);
@@ -43,7 +43,7 @@
       ttftMs: 600,
       factsAgeMs: 20,
     });
-    const forecast = judgeOne([
+    const forecast = judgeSingle([
       buildLine(5, 'stream_deferred', {requestId: 'q', predictedTtftMs: 80}),
       buildPlaced(250, 'q'),
       buildEnded(900, 'q', {ms: 900, ttftMs: 600}),
@@ -53,7 +53,7 @@
 
   it('judges by the placement that produced the first token', () => {
     // Guards against comparing with the prediction of a failed attempt.
-    const {cause, forecast} = judgeOne([
+    const {cause, forecast} = judgeSingle([
       buildPlaced(10, 'q'),
       buildLine(50, 'attempt_failed', {requestId: 'q', target: 'e1'}),
       buildPlaced(60, 'q', {decoder: 'e2', predictedTtftMs: 500}),
@@ -64,7 +64,7 @@
   });
 
   it('finds inter-token latency where the first token was in time', () => {
-    const {cause, lost, worth} = judgeOne([
+    const {cause, lost, worth} = judgeSingle([
       buildPlaced(10, 'q'),
       buildEnded(900, 'q', {ms: 900, ttftMs: 300, maxItlMs: 251}),
     ]);
@@ -74,7 +74,7 @@
   });
 
   it('finds nothing at the objectives themselves', () => {
-    const {cause, lost} = judgeOne([
+    const {cause, lost} = judgeSingle([
       buildPlaced(10, 'q'),
       buildEnded(900, 'q', {ms: 900, ttftMs: 300, maxItlMs: 250}),
     ]);
@@ -94,35 +94,39 @@
       caller_left: 'caller-left',
     } as const;
     for (const [outcome, cause] of Object.entries(ends)) {
-      const judged = judgeOne([buildEnded(900, 'q', {outcome})]);
+      const judged = judgeSingle([buildEnded(900, 'q', {outcome})]);
       expect(judged.cause).toEqual(cause);
       expect(judged.lost).toEqual(judged.worth);
     }
-    const failed = judgeOne([buildEnded(900, 'q', {status: 500})]);
+    const failed = judgeSingle([buildEnded(900, 'q', {status: 500})]);
     expect(failed.cause).toEqual('cut');
   });
 
   it('judges a call by its whole answer', () => {
     const call = {route: 'orders', kind: 'unsafe', tokens: undefined};
-    const rest = {ttftMs: undefined, maxItlMs: undefined};
-    const late = judgeOne([buildEnded(900, 'q', {...call, ...rest, ms: 201})]);
+    const noTokens = {ttftMs: undefined, maxItlMs: undefined};
+    const late = judgeSingle([
+      buildEnded(900, 'q', {...call, ...noTokens, ms: 201}),
+    ]);
     expect(late.cause).toEqual('late-unpredicted');
     expect(late.size).toEqual('-');
-    const good = judgeOne([buildEnded(900, 'q', {...call, ...rest, ms: 200})]);
-    expect(good.cause).toEqual(undefined);
+    const inTime = judgeSingle([
+      buildEnded(900, 'q', {...call, ...noTokens, ms: 200}),
+    ]);
+    expect(inTime.cause).toEqual(undefined);
   });
 
   it('counts a caller that came back once, by its answer', () => {
     // Guards against counting a request twice that a draining gate sent
     // elsewhere.
-    const judged = judgeOne([
+    const judged = judgeSingle([
       buildLine(5, 'request_refused', {requestId: 'q', reason: 'stopping'}),
       {...buildPlaced(20, 'q'), proc: 'g2'},
       {...buildEnded(510, 'q'), proc: 'g2'},
     ]);
     expect(judged.cause).toEqual(undefined);
     expect(judged.arrivedAt).toEqual(T0 + 5);
-    const refused = judgeOne([
+    const refused = judgeSingle([
       {...buildEnded(400, 'q', {outcome: 'overloaded'}), proc: 'g2'},
       buildLine(600, 'request_refused', {requestId: 'q', reason: 'stopping'}),
     ]);
@@ -133,7 +137,7 @@
 
   it('loses what a gate held when its process ended', () => {
     // Guards against calling a request lost that is open at the end of the log.
-    const requests = judge([
+    const requests = judgeLog([
       buildPlaced(10, 'placed', {tokens: 90_000}),
       buildLine(20, 'stream_deferred', {requestId: 'kept'}),
       buildLine(900, 'gate_started'),
@@ -154,26 +158,36 @@
 
   it('loses nothing with a gate that had ended it unsaid', () => {
     // Guards against calling a request lost whose end was dropped from the log.
-    const requests = judge([
+    const requests = judgeLog([
       buildPlaced(10, 'unsaid'),
       buildEnded(40_000, 'other'),
       buildLine(41_000, 'gate_started'),
     ]);
-    const unsaid = requests.find(({requestId}) => requestId === 'unsaid');
-    expect([unsaid?.cause, unsaid?.isOpen]).toEqual([undefined, true]);
+    const requestWithoutEnd = requests.find(
+      ({requestId}) => requestId === 'unsaid',
+    );
+    expect([requestWithoutEnd?.cause, requestWithoutEnd?.isOpen]).toEqual([
+      undefined,
+      true,
+    ]);
   });
 
   it('loses what a gate held that never came back', () => {
     // Guards against missing a request that was lost with its host.
     const held = buildPlaced(10, 'held');
-    const going = (ms: number) => ({...buildEnded(ms, 'other'), proc: 'g2'});
-    expect(judge([held, going(11_000)])[0].cause).toEqual('gate-ended');
-    expect(judge([held, going(9000)])[0].isOpen).toEqual(true);
+    const buildLaterEnd = (ms: number) => ({
+      ...buildEnded(ms, 'other'),
+      proc: 'g2',
+    });
+    expect(judgeLog([held, buildLaterEnd(11_000)])[0].cause).toEqual(
+      'gate-ended',
+    );
+    expect(judgeLog([held, buildLaterEnd(9000)])[0].isOpen).toEqual(true);
   });
 
   it('says nothing of a forecast that a clock was set back over', () => {
     // Guards against a forecast error that is a clock step.
-    const {cause, forecast} = judgeOne([
+    const {cause, forecast} = judgeSingle([
       buildPlaced(40_000, 'q'),
       buildEnded(10_900, 'q', {ms: 900, ttftMs: 600}),
     ]);
@@ -182,7 +196,7 @@
   });
 
   it('calls nothing late on a route without an objective', () => {
-    const judged = judgeOne([
+    const judged = judgeSingle([
       buildEnded(900, 'q', {route: 'toString', ms: 900, ttftMs: 800}),
     ]);
     expect(judged.hasObjective).toEqual(false);
@@ -191,6 +205,6 @@
 
   it('keeps requests without an id apart', () => {
     const ends = [buildEnded(500, undefined), buildEnded(510, undefined)];
-    expect(judge(ends).length).toEqual(2);
+    expect(judgeLog(ends).length).toEqual(2);
   });
 });
--- a/packages/nutmeggauge/src/losses/judge-request.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.ts
@@ -14,7 +14,7 @@
 } from './client-attempts.js';
 
 /** Outcomes of requests that reached no target. */
-const REFUSALS: ReadonlySet<string> = new Set([
+const REFUSED_OUTCOMES: ReadonlySet<string> = new Set([
   'no_target',
   'not_run',
   'too_late',
@@ -22,7 +22,7 @@
 ]);
 
 /** First status of a server failure (RFC 9110, 15.6). */
-const FAILURE_STATUS = 500;
+const MIN_FAILURE_STATUS = 500;
 
 /** Name of a route or kind that no line gives. */
 export const UNKNOWN = '?';
@@ -61,17 +61,18 @@
  * Largest difference between a timestamp and a rounded duration of the same
  * clock, in ms.
  */
-const STAMP_ERROR_MS = 5;
+const TIMESTAMP_TOLERANCE_MS = 5;
 
 /** Finds the placement that produced the first token. */
 function findPlacement(
   attempt: ClientAttempt,
   ttftMs: number,
 ): PlacementRecord | undefined {
-  const firstAt = attempt.arrivedAt + ttftMs;
+  const firstTokenAt = attempt.arrivedAt + ttftMs;
   // After a clock step the timestamps do not fit, and there is no forecast.
   return attempt.placements.findLast(
-    ({t}) => t >= attempt.arrivedAt - STAMP_ERROR_MS && t <= firstAt,
+    ({t}) =>
+      t >= attempt.arrivedAt - TIMESTAMP_TOLERANCE_MS && t <= firstTokenAt,
   );
 }
 
@@ -88,7 +89,7 @@
   };
 }
 
-function judgeLate(
+function judgeLatency(
   end: AttemptEnd,
   objective: Objective | undefined,
   forecast: TtftForecast | undefined,
@@ -101,8 +102,8 @@
       ? 'late-predicted'
       : 'late-mispredicted';
   }
-  const isPaused = itlMs !== undefined && (end.maxItlMs ?? 0) > itlMs;
-  return isPaused ? 'late-itl' : undefined;
+  const isItlExceeded = itlMs !== undefined && (end.maxItlMs ?? 0) > itlMs;
+  return isItlExceeded ? 'late-itl' : undefined;
 }
 
 function judgeAttempt(
@@ -111,17 +112,19 @@
   forecast: TtftForecast | undefined,
 ): Cause | undefined {
   const {end} = attempt;
-  if (end === undefined) return attempt.isGateGone ? 'gate-ended' : undefined;
-  if (end.isEarly || REFUSALS.has(end.outcome)) return 'refused';
+  if (end === undefined)
+    return attempt.isLostWithGate ? 'gate-ended' : undefined;
+  if (end.isRefusedBeforeRouting || REFUSED_OUTCOMES.has(end.outcome))
+    return 'refused';
   if (end.outcome === 'caller_left') return 'caller-left';
   // A failure of the target is an answer, but no success.
-  const isFailed = (end.status ?? 0) >= FAILURE_STATUS;
+  const isFailed = (end.status ?? 0) >= MIN_FAILURE_STATUS;
   if (end.outcome !== 'answered' || isFailed) return 'cut';
-  return judgeLate(end, objective, forecast);
+  return judgeLatency(end, objective, forecast);
 }
 
 /** Finds a value that any client attempt gives: early refusals lack most. */
-function findFact<T>(
+function findAttemptValue<T>(
   attempts: readonly ClientAttempt[],
   read: (attempt: ClientAttempt) => T | undefined,
 ): T | undefined {
@@ -145,10 +148,11 @@
   const isStream = attempts.some(
     ({placements, deferredAt}) => placements.length + deferredAt.length > 0,
   );
-  const route = findFact(attempts, ({end}) => end?.route) ?? UNKNOWN;
+  const route = findAttemptValue(attempts, ({end}) => end?.route) ?? UNKNOWN;
   const kind =
-    findFact(attempts, ({end}) => end?.kind) ?? (isStream ? 'stream' : UNKNOWN);
-  const tokens = findFact(
+    findAttemptValue(attempts, ({end}) => end?.kind) ??
+    (isStream ? 'stream' : UNKNOWN);
+  const tokens = findAttemptValue(
     attempts,
     ({end, placements}) => end?.tokens ?? placements.at(0)?.tokens,
   );
@@ -166,7 +170,7 @@
     worth,
     cause,
     lost: estimateLost(worth, cause),
-    isOpen: attempt.end === undefined && !attempt.isGateGone,
+    isOpen: attempt.end === undefined && !attempt.isLostWithGate,
     hasObjective: objective !== undefined,
     forecast,
     attempt,
--- a/packages/nutmeggauge/src/losses/loss-page.ts
+++ b/packages/nutmeggauge/src/losses/loss-page.ts
@@ -9,15 +9,15 @@
 import type {LossAnalysis} from './summarize-losses.js';
 
 /** Legend of the bars; the selected prompt's are drawn last. */
-const BARS = [
+const BAR_STYLES = [
   {name: 'prefill', color: '#3b78c4', opacity: 0.35},
   {name: 'decode', color: '#4a9d5b', opacity: 0.35},
   {name: 'the prompt, prefill', color: '#d62828', opacity: 0.9},
   {name: 'the prompt, decode', color: '#f4a03a', opacity: 0.9},
 ] as const;
 
-function findBar({work, isMarked}: ActivitySpan): number {
-  return (isMarked ? 2 : 0) + (work === 'prefill' ? 0 : 1);
+function findStyleIndex({phase, isSelected}: ActivitySpan): number {
+  return (isSelected ? 2 : 0) + (phase === 'prefill' ? 0 : 1);
 }
 
 function describePrompt({
@@ -28,22 +28,22 @@
 }: JudgedRequest): string {
   const {end, proc} = attempt;
   const outcome = cause === undefined ? 'in time' : CAUSE_NAMES[cause];
-  const first = end?.ttftMs === undefined ? 'none' : `${end.ttftMs} ms`;
-  return `Request ${requestId ?? '?'} at ${proc}: ${tokens ?? '?'} tokens, ${outcome}, first token ${first}`;
+  const firstToken = end?.ttftMs === undefined ? 'none' : `${end.ttftMs} ms`;
+  return `Request ${requestId ?? '?'} at ${proc}: ${tokens ?? '?'} tokens, ${outcome}, first token ${firstToken}`;
 }
 
 function listSeries(activity: EngineActivity): readonly SpanSeries[] {
   const {engines, request, spans} = activity;
-  const zero = request.attempt.arrivedAt;
-  const indexes = new Map(engines.map((engine, i) => [engine, i]));
-  const toLane = ({engine, work, from, to}: ActivitySpan): LaneSpan => ({
-    lane: (indexes.get(engine) ?? 0) * 2 + (work === 'prefill' ? 0 : 1),
-    from: (from - zero) / 1000,
-    to: (to - zero) / 1000,
+  const originMs = request.attempt.arrivedAt;
+  const engineIndexes = new Map(engines.map((engine, i) => [engine, i]));
+  const toLane = ({engine, phase, from, to}: ActivitySpan): LaneSpan => ({
+    lane: (engineIndexes.get(engine) ?? 0) * 2 + (phase === 'prefill' ? 0 : 1),
+    from: (from - originMs) / 1000,
+    to: (to - originMs) / 1000,
   });
-  return BARS.map((bar, i) => ({
-    ...bar,
-    spans: spans.filter(span => findBar(span) === i).map(toLane),
+  return BAR_STYLES.map((style, i) => ({
+    ...style,
+    spans: spans.filter(span => findStyleIndex(span) === i).map(toLane),
   }));
 }
 
@@ -55,12 +55,12 @@
  */
 export function renderActivity(activity: EngineActivity): string {
   const {engines, request, from, to} = activity;
-  const zero = request.attempt.arrivedAt;
+  const originMs = request.attempt.arrivedAt;
   return renderLanes(
     describePrompt(request),
     's since its arrival',
     engines.flatMap(engine => [`${engine} prefill`, `${engine} decode`]),
-    [(from - zero) / 1000, (to - zero) / 1000],
+    [(from - originMs) / 1000, (to - originMs) / 1000],
     listSeries(activity),
   );
 }
--- a/packages/nutmeggauge/src/losses/losses.test.ts
+++ b/packages/nutmeggauge/src/losses/losses.test.ts
@@ -17,7 +17,7 @@
   writeTestFile,
 } from '../test/gate-lines.js';
 import {listActivity, pickPrompt} from './engine-activity.js';
-import {readGateLogs} from './gate-lives.js';
+import {readGateLogs} from './gate-incarnations.js';
 import {runLosses} from './losses.js';
 import {judgeRequests} from './summarize-losses.js';
 import type {LossAnalysis} from './summarize-losses.js';
@@ -25,7 +25,7 @@
 const OBJECTIVES = 'routes: {chat: {ttftMs: 300, itlMs: 250}}\n';
 
 /** A long late prompt, beside a longer one in time and a short late one. */
-const DAY = [
+const LOG_LINES = [
   buildLine(0, 'gate_started'),
   buildPlaced(1000, 'short', {decoder: 'e3'}),
   buildPlaced(1010, 'good', {tokens: 300_000, decoder: 'e4'}),
@@ -40,16 +40,16 @@
   buildEnded(2900, 'long', {tokens: 90_000, ms: 1900, ttftMs: 700}),
 ];
 
-function findOutputs() {
+function createOutputPaths() {
   const dir = dirname(writeTestFile('marker', ''));
   return {json: join(dir, 'out.json'), html: join(dir, 'out.html')};
 }
 
 describe('nutmeggauge losses', () => {
   it('prints tables and writes the same as JSON and as a page', () => {
-    const outputs = findOutputs();
+    const outputs = createOutputPaths();
     const text = runLosses({
-      paths: [writeLog(DAY)],
+      paths: [writeLog(LOG_LINES)],
       objectives: writeTestFile('objectives.yaml', OBJECTIVES),
       ...outputs,
     });
@@ -65,7 +65,7 @@
 
   it('draws the largest late prompt, its shards marked', () => {
     // The largest late prompt is shown, not the largest one.
-    const logs = readGateLogs([writeLog(DAY)]);
+    const logs = readGateLogs([writeLog(LOG_LINES)]);
     const routes = {chat: {ttftMs: 300}};
     const requests = judgeRequests(logs, {routes});
     const prompt = pickPrompt(requests);
@@ -73,11 +73,11 @@
     if (prompt === undefined) return;
     const {engines, spans, from} = listActivity(requests, prompt);
     expect(engines).toEqual(['e1', 'e2', 'e<3>', 'e3', 'e4']);
-    const marked = spans
-      .filter(({isMarked}) => isMarked)
-      .map(span => [span.engine, span.work, span.from - from, span.to - from]);
+    const selectedSpans = spans
+      .filter(({isSelected}) => isSelected)
+      .map(span => [span.engine, span.phase, span.from - from, span.to - from]);
     // Its arrival is one second into the plot.
-    expect(marked).toEqual([
+    expect(selectedSpans).toEqual([
       ['e1', 'prefill', 1050, 1700],
       ['e2', 'prefill', 1050, 1700],
       ['e<3>', 'prefill', 1050, 1700],
@@ -97,19 +97,19 @@
       routes: {},
     });
     const {spans, from} = listActivity(requests, requests[0]);
-    expect(spans.map(span => [span.engine, span.work, span.to - from])).toEqual(
-      [
-        ['e1', 'prefill', 1100],
-        ['e2', 'prefill', 1500],
-        ['e2', 'decode', 2000],
-      ],
-    );
+    expect(
+      spans.map(span => [span.engine, span.phase, span.to - from]),
+    ).toEqual([
+      ['e1', 'prefill', 1100],
+      ['e2', 'prefill', 1500],
+      ['e2', 'decode', 2000],
+    ]);
   });
 
   it('keeps names of callers and engines from the page’s markup', () => {
     // Guards against script injection by a request id.
     const id = '<script>alert(1)</script>';
-    const outputs = findOutputs();
+    const outputs = createOutputPaths();
     const lines = [
       buildLine(0, 'gate_started'),
       buildPlaced(10, id, {decoder: '<b>'}),
@@ -122,11 +122,11 @@
   });
 
   it('draws the asked request, and refuses one that nobody names', () => {
-    const paths = [writeLog(DAY)];
-    const outputs = findOutputs();
+    const paths = [writeLog(LOG_LINES)];
+    const outputs = createOutputPaths();
     runLosses({paths, ...outputs, request: 'short'});
     expect(readFileSync(outputs.html, 'utf8')).toInclude('Request short');
-    const {html} = findOutputs();
+    const {html} = createOutputPaths();
     expect(() => runLosses({paths, html, request: 'nobody'})).toThrow(
       UnknownRequestError,
       'no line names the request nobody',
@@ -135,7 +135,7 @@
   });
 
   it('names a bad file of objectives, and one that cannot be written', () => {
-    const paths = [writeLog(DAY)];
+    const paths = [writeLog(LOG_LINES)];
     const objectives = writeTestFile('o.yaml', 'routes: {chat: {fristMs: 1}}');
     expect(() => runLosses({paths, objectives})).toThrow(
       SettingsError,
@@ -149,12 +149,12 @@
 
   it('goes through a log that is cut anywhere', () => {
     // Guards against logs that begin or end in the middle of a line.
-    const text = DAY.map(line => JSON.stringify(line)).join('\n');
-    const {html} = findOutputs();
+    const text = LOG_LINES.map(line => JSON.stringify(line)).join('\n');
+    const {html} = createOutputPaths();
     for (let at = 0; at <= text.length; at += 7) {
       for (const part of [text.slice(0, at), text.slice(at)]) {
         const paths = [writeTestFile('cut.log', part)];
-        checkTyped(() => runLosses({paths, html}));
+        runIgnoringCommandErrors(() => runLosses({paths, html}));
       }
     }
   });
@@ -184,12 +184,12 @@
       maxItlMs: fc.jsonValue(),
       ms: fc.oneof(fc.double(), fc.jsonValue()),
     });
-    const {html} = findOutputs();
+    const {html} = createOutputPaths();
     const objectives = writeTestFile('o.yaml', 'others: {ttftMs: 1}');
     fc.assert(
       fc.property(fc.array(line, {maxLength: 12}), lines => {
         const paths = [writeLog(lines)];
-        checkTyped(() => runLosses({paths, html, objectives}));
+        runIgnoringCommandErrors(() => runLosses({paths, html, objectives}));
       }),
       {numRuns: 300},
     );
@@ -197,7 +197,7 @@
 });
 
 /** Accepts errors that the command line reports in one line. */
-function checkTyped(run: () => void): void {
+function runIgnoringCommandErrors(run: () => void): void {
   try {
     run();
   } catch (error) {
--- a/packages/nutmeggauge/src/losses/losses.ts
+++ b/packages/nutmeggauge/src/losses/losses.ts
@@ -6,7 +6,7 @@
 import {formatTextTable} from '../bench/page.js';
 import {OutputFileError, UnknownRequestError} from '../cli/errors.js';
 import {listActivity, pickPrompt} from './engine-activity.js';
-import {readGateLogs} from './gate-lives.js';
+import {readGateLogs} from './gate-incarnations.js';
 import {renderLossPage} from './loss-page.js';
 import {NO_OBJECTIVES, loadObjectives} from './objectives.js';
 import {judgeRequests, summarizeLosses} from './summarize-losses.js';
@@ -89,10 +89,10 @@
  */
 export function runLosses(options: LossesOptions): string {
   const {paths, objectives, json, html, request} = options;
-  const aims =
+  const loadedObjectives =
     objectives === undefined ? NO_OBJECTIVES : loadObjectives(objectives);
   const logs = readGateLogs(paths);
-  const requests = judgeRequests(logs, aims);
+  const requests = judgeRequests(logs, loadedObjectives);
   const analysis = summarizeLosses(logs, requests);
   const prompt = findPrompt(requests, request);
   if (json !== undefined)
--- a/packages/nutmeggauge/src/losses/soak-logs.test.ts
+++ b/packages/nutmeggauge/src/losses/soak-logs.test.ts
@@ -6,7 +6,7 @@
 import {fileURLToPath} from 'node:url';
 import {promisify} from 'node:util';
 import {expect} from 'earl';
-import {readGateLogs} from './gate-lives.js';
+import {readGateLogs} from './gate-incarnations.js';
 import {judgeRequests, summarizeLosses} from './summarize-losses.js';
 import type {Cause} from './causes.js';
 
@@ -22,7 +22,7 @@
 }
 
 /** Causes of requests without a complete answer. */
-const UNANSWERED: ReadonlySet<Cause | undefined> = new Set<Cause>([
+const UNANSWERED_CAUSES: ReadonlySet<Cause | undefined> = new Set<Cause>([
   'refused',
   'cut',
   'gate-ended',
@@ -34,10 +34,10 @@
     // restarted, compared with their callers.
     const runDir = mkdtempSync(join(tmpdir(), 'losses-soak-'));
     try {
-      const words = ['soak', '--seed', '1', '--no-timing'];
+      const soakArgs = ['soak', '--seed', '1', '--no-timing'];
       await execFileAsync(process.execPath, [
         CLI_BIN,
-        ...words,
+        ...soakArgs,
         ...['--length-ms', '9000', '--run-dir', runDir],
       ]);
       const logs = readGateLogs([runDir]);
@@ -48,23 +48,23 @@
       const history = JSON.parse(
         readFileSync(join(runDir, 'history.json'), 'utf8'),
       ) as {readonly records: readonly CallerRecord[]};
-      const served = new Set(
+      const answeredIds = new Set(
         history.records
           .filter(({status, isWhole}) => status === 200 && isWhole)
           .map(({requestId}) => requestId),
       );
-      expect(served.size > 0).toEqual(true);
+      expect(answeredIds.size > 0).toEqual(true);
       expect(logs.malformedLines).toEqual(0);
-      const wrong = requests.filter(
+      const misjudged = requests.filter(
         ({requestId, cause}) =>
-          served.has(requestId ?? '') && UNANSWERED.has(cause),
+          answeredIds.has(requestId ?? '') && UNANSWERED_CAUSES.has(cause),
       );
       // A gate that is killed after its answer and before its line is read
       // leaves that request open.
-      expect(wrong.filter(({cause}) => cause !== 'gate-ended')).toEqual([]);
+      expect(misjudged.filter(({cause}) => cause !== 'gate-ended')).toEqual([]);
       const {kinds, forecasts, worth} = summarizeLosses(logs, requests);
       expect(kinds.length > 0 && forecasts.length > 0).toEqual(true);
-      const sum = kinds.reduce((all, kind) => all + kind.worth, 0);
+      const sum = kinds.reduce((total, kind) => total + kind.worth, 0);
       expect(Math.abs(sum - worth) < 1e-6).toEqual(true);
     } finally {
       rmSync(runDir, {recursive: true});
--- a/packages/nutmeggauge/src/losses/sourced-lines.ts
+++ b/packages/nutmeggauge/src/losses/sourced-lines.ts
@@ -8,12 +8,12 @@
 import type {TimelineEvent} from '../timeline/merge.js';
 
 /** First event of a process, before it knows its name. */
-export const FIRST_EVENT = 'program_starting';
+export const PROGRAM_STARTING = 'program_starting';
 
 /** A line with the process or file that it came from. */
 export interface SourcedLine {
   readonly source: string;
-  readonly event: TimelineEvent | typeof FIRST_EVENT;
+  readonly event: TimelineEvent | typeof PROGRAM_STARTING;
   /** The line's JSON as it was written. */
   readonly text: string;
 }
@@ -42,8 +42,8 @@
   if (fields === undefined) return undefined;
   const source = resolveSource(file, prefix);
   if (isTimelineEvent(fields)) return {source, event: fields, text};
-  return fields.event === FIRST_EVENT
-    ? {source, event: FIRST_EVENT, text}
+  return fields.event === PROGRAM_STARTING
+    ? {source, event: PROGRAM_STARTING, text}
     : undefined;
 }
 
@@ -53,19 +53,19 @@
   readonly malformed: number;
   readonly foreign: number;
   /** First timestamp; infinite if there is none. */
-  readonly beginsAt: number;
+  readonly firstTimestamp: number;
 }
 
 function readFileLines(file: string): FileLines {
-  const raws = readRawLines(file);
-  const lines = raws.flatMap(raw => toSourcedLine(file, raw) ?? []);
-  const malformed = raws.filter(({fields}) => fields === undefined).length;
-  const stamped = lines.find(({event}) => event !== FIRST_EVENT)?.event;
+  const rawLines = readRawLines(file);
+  const lines = rawLines.flatMap(raw => toSourcedLine(file, raw) ?? []);
+  const malformed = rawLines.filter(({fields}) => fields === undefined).length;
+  const firstEvent = lines.find(({event}) => event !== PROGRAM_STARTING)?.event;
   return {
     lines,
     malformed,
-    foreign: raws.length - malformed - lines.length,
-    beginsAt: typeof stamped === 'object' ? stamped.t : Infinity,
+    foreign: rawLines.length - malformed - lines.length,
+    firstTimestamp: typeof firstEvent === 'object' ? firstEvent.t : Infinity,
   };
 }
 
@@ -76,16 +76,16 @@
 function mergeFiles(files: readonly FileLines[]): readonly SourcedLine[] {
   const seen = new Set<string>();
   return files.flatMap(({lines}) => {
-    const own = lines.filter(
-      ({event, text}) => event === FIRST_EVENT || !seen.has(text),
+    const newLines = lines.filter(
+      ({event, text}) => event === PROGRAM_STARTING || !seen.has(text),
     );
-    for (const {text} of own) seen.add(text);
-    return own;
+    for (const {text} of newLines) seen.add(text);
+    return newLines;
   });
 }
 
 function sum(counts: readonly number[]): number {
-  return counts.reduce((all, count) => all + count, 0);
+  return counts.reduce((total, count) => total + count, 0);
 }
 
 /**
@@ -100,7 +100,7 @@
   const files = listLogFiles(paths);
   const contents = files
     .map(readFileLines)
-    .sort((a, b) => a.beginsAt - b.beginsAt);
+    .sort((a, b) => a.firstTimestamp - b.firstTimestamp);
   const lines = mergeFiles(contents);
   return {
     files,
--- a/packages/nutmeggauge/src/losses/summaries.test.ts
+++ b/packages/nutmeggauge/src/losses/summaries.test.ts
@@ -7,15 +7,15 @@
   T0,
   writeLog,
 } from '../test/gate-lines.js';
-import {readGateLogs} from './gate-lives.js';
+import {readGateLogs} from './gate-incarnations.js';
 import {judgeRequests, summarizeLosses} from './summarize-losses.js';
 import type {LineFields} from '../test/gate-lines.js';
 
 const OBJECTIVES = {routes: {chat: {ttftMs: 300, itlMs: 250}}};
 
 function summarizeLog(lines: readonly LineFields[]) {
-  const file = writeLog([buildLine(0, 'gate_started'), ...lines]);
-  const logs = readGateLogs([file]);
+  const logFile = writeLog([buildLine(0, 'gate_started'), ...lines]);
+  const logs = readGateLogs([logFile]);
   return summarizeLosses(logs, judgeRequests(logs, OBJECTIVES));
 }
 
--- a/packages/nutmeggauge/src/losses/summarize-forecasts.ts
+++ b/packages/nutmeggauge/src/losses/summarize-forecasts.ts
@@ -25,14 +25,18 @@
   readonly most: number;
 }
 
-function resolveAge(factsAgeMs: number): string {
+function resolveAgeClass(factsAgeMs: number): string {
   const bound = AGE_BOUNDS_MS.find(ms => factsAgeMs <= ms);
   return bound === undefined
     ? `> ${AGE_BOUNDS_MS.at(-1)} ms`
     : `<= ${bound} ms`;
 }
 
-const AGES = [ALL_AGES, ...AGE_BOUNDS_MS.map(resolveAge), resolveAge(Infinity)];
+const AGE_CLASSES = [
+  ALL_AGES,
+  ...AGE_BOUNDS_MS.map(resolveAgeClass),
+  resolveAgeClass(Infinity),
+];
 
 /** A forecast with its classes. */
 interface ForecastSample {
@@ -45,7 +49,11 @@
   if (forecast === undefined) return [];
   const {ttftMs, predictedMs, factsAgeMs} = forecast;
   const errorMs = ttftMs - predictedMs;
-  return [ALL_AGES, resolveAge(factsAgeMs)].map(age => ({size, age, errorMs}));
+  return [ALL_AGES, resolveAgeClass(factsAgeMs)].map(age => ({
+    size,
+    age,
+    errorMs,
+  }));
 }
 
 /**
@@ -59,7 +67,7 @@
 ): readonly ForecastErrors[] {
   const samples = requests.flatMap(toSamples);
   return LENGTH_BUCKETS.flatMap(({name: size}) =>
-    AGES.flatMap(age => {
+    AGE_CLASSES.flatMap(age => {
       const errors = samples
         .filter(sample => sample.size === size && sample.age === age)
         .map(({errorMs}) => errorMs)
--- a/packages/nutmeggauge/src/losses/summarize-kinds.ts
+++ b/packages/nutmeggauge/src/losses/summarize-kinds.ts
@@ -37,8 +37,8 @@
   requests: readonly JudgedRequest[],
 ): Record<Cause, LossSum> {
   const sums = CAUSES.map(cause => {
-    const own = requests.filter(request => request.cause === cause);
-    return [cause, {requests: own.length, worth: sumLost(own)}];
+    const members = requests.filter(request => request.cause === cause);
+    return [cause, {requests: members.length, worth: sumLost(members)}];
   });
   return Object.fromEntries(sums) as Record<Cause, LossSum>;
 }
@@ -85,32 +85,32 @@
 /**
  * Summarizes each kind of request, largest loss first.
  *
- * @param noGateWorth - Estimate of what gates were not there for, of all kinds.
+ * @param gapWorth - Estimate of what gates were not there for, of all kinds.
  * @example
  * summarizeKinds(requests, 0)[0].lost;
  */
 export function summarizeKinds(
   requests: readonly JudgedRequest[],
-  noGateWorth: number,
+  gapWorth: number,
 ): readonly KindLosses[] {
-  const all = sumWorth(requests);
+  const totalWorth = sumWorth(requests);
   const byKind = listByKey(requests, ({route, kind, size}) =>
     JSON.stringify([route, kind, size]),
   );
   return [...byKind.values()]
-    .map(own => {
-      const {route, kind, size, hasObjective} = own[0];
-      const worth = sumWorth(own);
+    .map(members => {
+      const {route, kind, size, hasObjective} = members[0];
+      const worth = sumWorth(members);
       return {
         route,
         kind,
         size,
-        requests: own.length,
+        requests: members.length,
         worth,
-        lost: sumLost(own),
-        byCause: sumByCause(own),
+        lost: sumLost(members),
+        byCause: sumByCause(members),
         // Assumes the mix of the requests that did arrive.
-        estimatedNoGate: all > 0 ? (noGateWorth * worth) / all : 0,
+        estimatedNoGate: totalWorth > 0 ? (gapWorth * worth) / totalWorth : 0,
         hasObjective,
       };
     })
--- a/packages/nutmeggauge/src/losses/summarize-losses.ts
+++ b/packages/nutmeggauge/src/losses/summarize-losses.ts
@@ -7,7 +7,7 @@
 import {summarizeWindows} from './summarize-windows.js';
 import {listClientAttempts, mergeClientAttempts} from './client-attempts.js';
 import type {GateGap} from './gate-gaps.js';
-import type {GateLogs} from './gate-lives.js';
+import type {GateLogs} from './gate-incarnations.js';
 import type {JudgedRequest} from './judge-request.js';
 import type {Objectives} from './objectives.js';
 import type {EngineLosses} from './summarize-engines.js';
@@ -59,8 +59,8 @@
   logs: GateLogs,
   objectives: Objectives,
 ): readonly JudgedRequest[] {
-  return mergeClientAttempts(listClientAttempts(logs.lives)).map(record =>
-    judgeRequest(record, objectives),
+  return mergeClientAttempts(listClientAttempts(logs.incarnations)).map(
+    record => judgeRequest(record, objectives),
   );
 }
 
@@ -68,27 +68,27 @@
   logs: GateLogs,
   requests: readonly JudgedRequest[],
 ): LogCoverage {
-  const {lives, files, malformedLines, foreignLines} = logs;
-  const blind = requests.filter(
+  const {incarnations, files, malformedLines, foreignLines} = logs;
+  const unforecast = requests.filter(
     ({attempt, forecast}) =>
       attempt.end?.ttftMs !== undefined && forecast === undefined,
   );
-  const unjudged = requests.filter(
+  const withoutObjective = requests.filter(
     ({hasObjective, route}) => !hasObjective && route !== UNKNOWN,
   );
   return {
     files,
-    gates: new Set(lives.map(({proc}) => proc)).size,
+    gates: new Set(incarnations.map(({proc}) => proc)).size,
     requests: requests.length,
     openRequests: requests.filter(({isOpen}) => isOpen).length,
-    withoutForecast: blind.length,
+    withoutForecast: unforecast.length,
     malformedLines,
     foreignLines,
     repeatedLines: logs.repeatedLines,
     droppedLines: logs.droppedLines,
     clockSteps: logs.clockSteps,
     routesWithoutObjective: [
-      ...new Set(unjudged.map(({route}) => route)),
+      ...new Set(withoutObjective.map(({route}) => route)),
     ].sort(),
   };
 }
@@ -104,7 +104,10 @@
   all: readonly JudgedRequest[],
 ): LossAnalysis {
   const requests = all.filter(({isOpen}) => !isOpen);
-  const gaps = listGaps(logs.lives, estimateRates(logs.lives, requests));
+  const gaps = listGaps(
+    logs.incarnations,
+    estimateRates(logs.incarnations, requests),
+  );
   const estimatedNoGate = gaps.reduce(
     (sum, gap) => sum + gap.estimatedWorth,
     0,
--- a/packages/nutmeggauge/src/losses/summarize-windows.ts
+++ b/packages/nutmeggauge/src/losses/summarize-windows.ts
@@ -20,16 +20,19 @@
   readonly mainCause: Cause;
 }
 
-function buildWindow(from: number, own: readonly JudgedRequest[]): LossWindow {
-  const byCause = sumByCause(own);
+function buildWindow(
+  from: number,
+  members: readonly JudgedRequest[],
+): LossWindow {
+  const byCause = sumByCause(members);
   const mainCause = CAUSES.reduce((most, cause) =>
     byCause[cause].worth > byCause[most].worth ? cause : most,
   );
   return {
     from,
-    requests: own.length,
-    worth: sumWorth(own),
-    lost: sumLost(own),
+    requests: members.length,
+    worth: sumWorth(members),
+    lost: sumLost(members),
     byCause,
     mainCause,
   };
@@ -48,7 +51,7 @@
     String(Math.floor(arrivedAt / WINDOW_MS) * WINDOW_MS),
   );
   return [...byWindow]
-    .map(([from, own]) => buildWindow(Number(from), own))
+    .map(([from, members]) => buildWindow(Number(from), members))
     .filter(({lost}) => lost > 0)
     .sort((a, b) => b.lost - a.lost || a.from - b.from);
 }
--- a/packages/nutmeggauge/src/losses/tables.ts
+++ b/packages/nutmeggauge/src/losses/tables.ts
@@ -131,7 +131,7 @@
   ];
   return counts
     .filter(([count]) => count > 0)
-    .map(([count, what]) => `${count} ${what}`);
+    .map(([count, label]) => `${count} ${label}`);
 }
 
 /**
--- a/packages/nutmeggauge/src/timeline/explain.ts
+++ b/packages/nutmeggauge/src/timeline/explain.ts
@@ -54,12 +54,12 @@
   events: readonly TimelineEvent[],
   requestId: string,
 ): readonly TimelineEvent[] {
-  const own = events.filter(event => event.requestId === requestId);
-  if (own.length === 0) return [];
-  const from = own[0].t - CONTEXT_BEFORE_MS;
-  const to = own[own.length - 1].t + CONTEXT_AFTER_MS;
-  const procs = new Set(own.map(event => event.proc));
-  const targets = new Set(own.flatMap(listTargets));
+  const ownEvents = events.filter(event => event.requestId === requestId);
+  if (ownEvents.length === 0) return [];
+  const from = ownEvents[0].t - CONTEXT_BEFORE_MS;
+  const to = ownEvents[ownEvents.length - 1].t + CONTEXT_AFTER_MS;
+  const procs = new Set(ownEvents.map(event => event.proc));
+  const targets = new Set(ownEvents.flatMap(listTargets));
   return events.filter(event => {
     if (event.requestId !== undefined) return event.requestId === requestId;
     if (event.t < from || event.t > to || !procs.has(event.proc)) return false;
--- a/packages/nutmeggauge/src/timeline/log-files.ts
+++ b/packages/nutmeggauge/src/timeline/log-files.ts
@@ -21,16 +21,16 @@
  * listLogFiles(['runs/demo-1']);
  */
 export function listLogFiles(paths: readonly string[]): readonly string[] {
-  const files = paths.flatMap(listLogFilesOf);
+  const files = paths.flatMap(listLogFilesOfPath);
   if (files.length > 0) return [...new Set(files)];
-  const where = paths.length === 0 ? 'no log file named' : 'no .log file in';
+  const problem = paths.length === 0 ? 'no log file named' : 'no .log file in';
   throw new InputFileError(
     {info: {paths}},
-    `${where} ${paths.join(', ')}`.trim(),
+    `${problem} ${paths.join(', ')}`.trim(),
   );
 }
 
-function listLogFilesOf(path: string): readonly string[] {
+function listLogFilesOfPath(path: string): readonly string[] {
   try {
     if (!statSync(path).isDirectory()) return [path];
     return readdirSync(path)
@@ -38,11 +38,11 @@
       .sort()
       .map(name => join(path, name));
   } catch (cause) {
-    throw describeUnreadable(path, cause as Error);
+    throw buildUnreadableError(path, cause as Error);
   }
 }
 
-function describeUnreadable(path: string, cause: Error): InputFileError {
+function buildUnreadableError(path: string, cause: Error): InputFileError {
   return new InputFileError({cause, info: {path}}, `${path}: cannot be read`);
 }
 
@@ -58,7 +58,7 @@
   try {
     content = readFileSync(file, 'utf8');
   } catch (cause) {
-    throw describeUnreadable(file, cause as Error);
+    throw buildUnreadableError(file, cause as Error);
   }
   return content.split('\n').flatMap(line => parseRawLine(line) ?? []);
 }
--- a/packages/nutmeggauge/src/timeline/merge.ts
+++ b/packages/nutmeggauge/src/timeline/merge.ts
@@ -53,7 +53,7 @@
 }
 
 /** Fields printed in the fixed columns of a row, or omitted. */
-const TIMELINE_HEAD: ReadonlySet<string> = new Set([
+const COLUMN_FIELDS: ReadonlySet<string> = new Set([
   't',
   'proc',
   'component',
@@ -70,9 +70,9 @@
 export function formatTimelineEvent(event: TimelineEvent): string {
   const {t, proc, component, event: name} = event;
   const fields = Object.fromEntries(
-    Object.entries(event).filter(([k]) => !TIMELINE_HEAD.has(k)),
+    Object.entries(event).filter(([k]) => !COLUMN_FIELDS.has(k)),
   );
-  const rest =
+  const suffix =
     Object.keys(fields).length > 0 ? ' ' + JSON.stringify(fields) : '';
-  return `${new Date(t).toISOString()} ${proc.padEnd(16)} ${(component ?? '').padEnd(12)} ${name}${rest}`;
+  return `${new Date(t).toISOString()} ${proc.padEnd(16)} ${(component ?? '').padEnd(12)} ${name}${suffix}`;
 }
