--- a/packages/nutmeggauge/src/losses/causes.ts
+++ b/packages/nutmeggauge/src/losses/causes.ts
@@ -1,6 +1,6 @@
-/** The causes by which a request loses worth. */
+/** Causes by which a request loses part or all of its worth. */
 
-/** Causes by which worth is lost, in the order of the tables. */
+/** Causes of lost worth, in the column order of the tables. */
 export const CAUSES = [
   'late-mispredicted',
   'late-predicted',
@@ -14,14 +14,14 @@
 
 export type Cause = (typeof CAUSES)[number];
 
-/** What the tables call the causes. */
+/** Labels of the causes in the tables and on the page. */
 export const CAUSE_NAMES: Readonly<Record<Cause, string>> = {
   'late-mispredicted': 'late, predicted in time',
-  'late-predicted': 'predicted late',
-  'late-unpredicted': 'late, nothing predicted',
+  'late-predicted': 'late, predicted late',
+  'late-unpredicted': 'late, no prediction',
   'late-itl': 'late by inter-token latency',
   refused: 'refused',
   cut: 'cut or failed',
-  'caller-left': 'caller left',
-  'gate-ended': 'its gate ended',
+  'caller-left': 'caller disconnected',
+  'gate-ended': 'gate process ended',
 };
--- a/packages/nutmeggauge/src/losses/client-attempts.ts
+++ b/packages/nutmeggauge/src/losses/client-attempts.ts
@@ -1,19 +1,19 @@
 /**
- * Client attempts, reconstructed from the log lines of gates: one for each
- * arrival of a request at a gate.
+ * Reconstructs client attempts from the log lines of gates. A client attempt is
+ * one arrival of a request at one gate.
  */
 import type {GateIncarnation} from './gate-incarnations.js';
 import type {TimelineEvent} from '../timeline/merge.js';
 
-/** The engines of a placement. */
+/** Engines that a gate chose for a stream, with its prediction. */
 export interface PlacementRecord {
-  /** Wall clock of its gate, in ms. */
+  /** Wall-clock time of the gate that placed the stream, in ms. */
   readonly t: number;
   readonly decoder: string;
   readonly helpers: readonly string[];
   /** Predicted time from the placement to the first token, in ms. */
   readonly predictedTtftMs: number;
-  /** Age of the gate's facts, in ms. */
+  /** Age of the gate's copy of the fleet state at the placement, in ms. */
   readonly factsAgeMs: number;
   readonly tokens: number | undefined;
 }
@@ -21,9 +21,12 @@
 /** How a client attempt ended. */
 export interface AttemptEnd {
   readonly t: number;
-  /** Outcome as logged, such as `answered` or `too_late`. */
+  /**
+   * Outcome as logged, such as `answered` or `too_late`; for a request refused
+   * before routing, the reason.
+   */
   readonly outcome: string;
-  /** Refused before routing. */
+  /** The gate refused the request before it chose a route. */
   readonly isRefusedBeforeRouting: boolean;
   readonly status: number | undefined;
   readonly route: string | undefined;
@@ -34,7 +37,7 @@
   readonly ttftMs: number | undefined;
   /** Largest inter-token latency, in ms. */
   readonly maxItlMs: number | undefined;
-  /** Time to the complete answer, in ms. */
+  /** Time from the arrival to the end of the client attempt, in ms. */
   readonly ms: number;
 }
 
@@ -42,24 +45,30 @@
 export interface ClientAttempt {
   readonly proc: string;
   readonly requestId: string | undefined;
-  /** Wall clock of the gate, in ms. */
+  /** Wall-clock time of the gate at the arrival, in ms. */
   readonly arrivedAt: number;
   readonly placements: readonly PlacementRecord[];
-  /** Times at which it was deferred. */
+  /** Timestamps at which the gate deferred the placement, in ms. */
   readonly deferredAt: readonly number[];
-  /** Targets of failed attempts, and when. */
+  /** Failed attempts at targets, each with its timestamp in ms. */
   readonly failures: ReadonlyArray<{
     readonly t: number;
     readonly target: string;
   }>;
   readonly end: AttemptEnd | undefined;
-  /** Last line of the gate's life, for a client attempt without an end. */
+  /**
+   * Timestamp of the gate incarnation's last line, in ms; used for a client
+   * attempt without an end.
+   */
   readonly lastSeenAt: number;
-  /** The gate ended, or fell silent for good, before the client attempt did. */
+  /**
+   * The gate process ended, or stopped logging for good, before the client
+   * attempt ended.
+   */
   readonly isLostWithGate: boolean;
 }
 
-/** Events of a client attempt. */
+/** Log events that belong to a client attempt. */
 const ATTEMPT_EVENTS: ReadonlySet<string> = new Set([
   'stream_placed',
   'stream_deferred',
@@ -71,18 +80,21 @@
 ]);
 
 /**
- * Longest credible duration, in ms: larger ones lead to dates that cannot be
- * printed.
+ * Longest accepted duration, in ms: larger values lead to dates that cannot be
+ * formatted.
  */
 const MAX_DURATION_MS = 86_400_000;
 
-/** Largest HTTP status (RFC 9110, 15). */
+/** Largest HTTP status code (RFC 9110, 15). */
 const MAX_STATUS = 599;
 
-/** Most credible tokens: far above the longest prompt. */
+/** Largest accepted number of tokens, far above the longest prompt. */
 const MAX_TOKENS = 1e9;
 
-/** Reads a figure from 0 to `most`; nothing if it is invalid. */
+/**
+ * Reads a number from 0 to `most` from a field; returns undefined if the value
+ * is invalid.
+ */
 function readNumber(
   line: TimelineEvent,
   field: string,
@@ -178,12 +190,12 @@
 }
 
 /**
- * Assumed longest duration of a request, in ms, unless the log shows a longer
- * one.
+ * Assumed longest duration of a request, in ms, unless the logs contain a
+ * longer one.
  */
 const DEFAULT_LONGEST_REQUEST_MS = 10_000;
 
-/** Range of all logs. */
+/** Time span of the logs, and longest request in them. */
 interface LogSpan {
   /** Last timestamp of any gate, in ms. */
   readonly lastTimestamp: number;
@@ -205,8 +217,9 @@
 }
 
 /**
- * True if a client attempt without an end was lost with its gate. If its last
- * line is older than any request lasts, its end was dropped from the log
+ * Returns whether a client attempt without an end was lost because its gate
+ * process ended. If the gate logged for longer than the longest request after
+ * the attempt's last line, the line of its end was dropped from the log
  * instead.
  */
 function isLostWithGate(
@@ -254,7 +267,7 @@
  * Lists the client attempts of all requests.
  *
  * @example
- * listClientAttempts(readGateLogs(['all.log']).lives).length;
+ * listClientAttempts(readGateLogs(['all.log']).incarnations).length;
  */
 export function listClientAttempts(
   incarnations: readonly GateIncarnation[],
@@ -265,7 +278,7 @@
   );
 }
 
-/** A request with all its client attempts, by time of arrival. */
+/** A request with all its client attempts, in order of arrival. */
 export interface RequestRecord {
   readonly requestId: string | undefined;
   readonly attempts: readonly ClientAttempt[];
@@ -273,7 +286,7 @@
   readonly attempt: ClientAttempt;
 }
 
-/** The answered attempt, or else the last one. */
+/** Picks the answered client attempt, or else the last one. */
 function pickAttempt(attempts: readonly ClientAttempt[]): ClientAttempt {
   const answered = attempts.find(({end}) => end?.outcome === 'answered');
   return answered ?? attempts[attempts.length - 1];
@@ -283,7 +296,7 @@
  * Groups client attempts by request.
  *
  * @example
- * mergeClientAttempts(listClientAttempts(lives)).filter(({attempts}) => attempts.length > 1);
+ * mergeClientAttempts(listClientAttempts(incarnations)).filter(({attempts}) => attempts.length > 1);
  */
 export function mergeClientAttempts(
   attempts: readonly ClientAttempt[],
--- a/packages/nutmeggauge/src/losses/engine-activity.ts
+++ b/packages/nutmeggauge/src/losses/engine-activity.ts
@@ -1,36 +1,41 @@
-/** Activity of engines around one long prompt: prefill and decode spans. */
+/**
+ * Reconstructs the prefill and decode spans of engines while one selected
+ * prompt was served.
+ */
 import {isLate} from './worth.js';
 import type {JudgedRequest} from './judge-request.js';
 import type {ClientAttempt} from './client-attempts.js';
 
-/**
- * A time in which an engine has one prompt to prefill or one answer to decode.
- */
+/** Time span in which an engine prefills one prompt or decodes one answer. */
 export interface ActivitySpan {
   readonly engine: string;
   readonly phase: 'prefill' | 'decode';
-  /** Wall clock of the gate, in ms. */
+  /** Start of the span as wall-clock time of the gate, in ms. */
   readonly from: number;
   readonly to: number;
-  /** Belongs to the selected prompt. */
+  /** The span belongs to the selected prompt. */
   readonly isSelected: boolean;
 }
 
-/** Engines around one prompt. */
+/**
+ * Engine activity during one selected prompt, including the other prompts
+ * served at the same time.
+ */
 export interface EngineActivity {
   readonly request: JudgedRequest;
   readonly from: number;
   readonly to: number;
-  /** The selected prompt's engines first. */
+  /** Names of the engines, those of the selected prompt first. */
   readonly engines: readonly string[];
   readonly spans: readonly ActivitySpan[];
 }
 
-/** Time shown before and after the prompt, in ms. */
+/** Time shown before and after the selected prompt, in ms. */
 const PLOT_MARGIN_MS = 1000;
 
 /**
- * Picks the prompt to show: the largest late one, or else the largest.
+ * Picks the prompt to plot: the largest one with a late answer, or else the
+ * largest one.
  *
  * @example
  * pickPrompt(requests)?.requestId;
@@ -44,12 +49,15 @@
   return [...candidates].sort((a, b) => (b.tokens ?? 0) - (a.tokens ?? 0))[0];
 }
 
-/** End of a client attempt, as far as the log shows. */
+/**
+ * Resolves the end of a client attempt; if the log lacks it, returns the last
+ * timestamp of the gate incarnation.
+ */
 function resolveEndAt({end, lastSeenAt}: ClientAttempt): number {
   return end?.t ?? lastSeenAt;
 }
 
-/** Spans of each placement of a client attempt. */
+/** Lists the spans of all placements of a client attempt. */
 function listSpans(
   attempt: ClientAttempt,
   isSelected: boolean,
@@ -82,7 +90,8 @@
 }
 
 /**
- * Lists what engines did around a prompt.
+ * Lists the spans of all engines around a selected prompt, with a margin before
+ * and after.
  *
  * @example
  * listActivity(requests, pickPrompt(requests)).engines;
--- a/packages/nutmeggauge/src/losses/gate-gaps.ts
+++ b/packages/nutmeggauge/src/losses/gate-gaps.ts
@@ -1,29 +1,32 @@
 /**
- * Times without a gate: from the last line of one life to the next
- * `gate_started`. What would have arrived is estimated from the gate's usual
- * load.
+ * Finds the gaps in which a gate did not run: from the last line of one
+ * incarnation to the next `gate_started`. The worth of the requests missed in a
+ * gap is estimated from the gate's average load.
  */
 import type {GateIncarnation} from './gate-incarnations.js';
 import type {JudgedRequest} from './judge-request.js';
 
-/** One time without a gate. */
+/** A gap between two incarnations of a gate. */
 export interface GateGap {
   readonly proc: string;
-  /** Wall clock of the gate, in ms. */
+  /** Start of the gap as wall-clock time of the gate, in ms. */
   readonly from: number;
   readonly to: number;
-  /** Length in ms; 0 if the clock was set back. */
+  /** Length of the gap, in ms; 0 if the clock was set back. */
   readonly ms: number;
-  /** The gate had drained, so callers had been sent elsewhere. */
+  /**
+   * The gate had finished its drain before the gap, so callers had been sent to
+   * other gates.
+   */
   readonly hasDrained: boolean;
-  /** Estimated worth of the requests that would have arrived. */
+  /** Estimated worth of the requests that would have arrived in the gap. */
   readonly estimatedWorth: number;
 }
 
-/** Worth of the requests that one gate receives in a ms. */
+/** Worth of the requests that each gate receives per ms, by process name. */
 export type WorthRates = ReadonlyMap<string, number>;
 
-/** Time for which a gate logged, in ms. */
+/** Sums the time in which a gate logged, in ms. */
 function sumServedMs(incarnations: readonly GateIncarnation[]): number {
   let sum = 0;
   for (const {lines} of incarnations)
@@ -38,10 +41,10 @@
 }
 
 /**
- * Estimates the worth of the requests that each gate receives in a ms.
+ * Estimates the worth of the requests that each gate receives per ms.
  *
  * @example
- * estimateRates(lives, requests).get('gate-1');
+ * estimateRates(incarnations, requests).get('gate-1');
  */
 export function estimateRates(
   incarnations: readonly GateIncarnation[],
@@ -65,7 +68,7 @@
  * Lists the gaps of all gates.
  *
  * @example
- * listGaps(lives, estimateRates(lives, requests));
+ * listGaps(incarnations, estimateRates(incarnations, requests));
  */
 export function listGaps(
   incarnations: readonly GateIncarnation[],
@@ -86,7 +89,7 @@
   const gaps: GateGap[] = [];
   let before: GateIncarnation | undefined;
   for (const gateIncarnation of incarnations) {
-    // After a failed start the gap continues.
+    // An incarnation that failed to start does not end the gap.
     if (before !== undefined && gateIncarnation.servesFrom === undefined)
       continue;
     if (before !== undefined && gateIncarnation.servesFrom !== undefined)
--- a/packages/nutmeggauge/src/losses/gate-incarnations.ts
+++ b/packages/nutmeggauge/src/losses/gate-incarnations.ts
@@ -1,41 +1,48 @@
 /**
- * Splits the lines of each gate into lives, one for each start of its process.
- * Lines keep the order of their file, as the clock may be set back.
+ * Splits the log lines of each gate into incarnations, one for each start of
+ * its process. Lines keep the order of their file, because the clock may be set
+ * back.
  */
 import {InputFileError} from '../cli/errors.js';
 import {PROGRAM_STARTING, readSourcedLines} from './sourced-lines.js';
 import type {TimelineEvent} from '../timeline/merge.js';
 import type {SourcedLine} from './sourced-lines.js';
 
-/** The lines of a gate between two starts of its process. */
+/** One run of a gate process, with its log lines. */
 export interface GateIncarnation {
   readonly proc: string;
   readonly lines: readonly TimelineEvent[];
-  /** When it began to serve; absent if unknown or if the start failed. */
+  /**
+   * Timestamp at which the gate began to serve, in ms; absent if unknown or if
+   * the start failed.
+   */
   readonly servesFrom: number | undefined;
-  /** It logged the end of its drain. */
+  /** The gate logged the end of its drain. */
   readonly hasDrained: boolean;
-  /** Another life follows in the log. */
+  /** Another incarnation of the same gate follows in the log. */
   readonly hasSuccessor: boolean;
 }
 
-/** Parsed lines, and counts of the ignored ones. */
+/**
+ * Gates' log lines by incarnation, and counts of ignored, repeated and dropped
+ * lines.
+ */
 export interface GateLogs {
   readonly files: readonly string[];
   readonly incarnations: readonly GateIncarnation[];
   /** Lines with a `{` but no complete JSON object. */
   readonly malformedLines: number;
-  /** JSON lines that are not a gate's. */
+  /** JSON lines that were not written by a gate. */
   readonly foreignLines: number;
-  /** Lines that occur more than once. */
+  /** Lines left out because an earlier file contains them as well. */
   readonly repeatedLines: number;
-  /** Lines that gates reported as dropped. */
+  /** Number of log lines that gates reported as dropped. */
   readonly droppedLines: number;
-  /** How often each gate's clock was set back. */
+  /** Number of times that each gate's clock was set back, by process name. */
   readonly clockSteps: Readonly<Record<string, number>>;
 }
 
-/** Events that only gates log; a file without any is not a gate's log. */
+/** Events that only gates log: a process that logs one of them is a gate. */
 const GATE_EVENTS: ReadonlySet<string> = new Set([
   'gate_started',
   'stream_placed',
@@ -48,7 +55,7 @@
   'facts_from_peer',
 ]);
 
-/** Collects the lines of one life. */
+/** Collects the lines of one incarnation. */
 class IncarnationBuilder {
   readonly lines: TimelineEvent[] = [];
   servesFrom: number | undefined;
@@ -63,10 +70,13 @@
   }
 }
 
-/** Groups lines into lives. */
+/** Groups lines by incarnation. */
 class IncarnationCollector {
   private readonly buildersByProc = new Map<string, IncarnationBuilder[]>();
-  /** Sources whose process has only logged that it starts. */
+  /**
+   * Sources that logged `program_starting` and nothing since: their next line
+   * begins a new incarnation.
+   */
   private readonly startingSources = new Set<string>();
 
   add({source, event}: SourcedLine): void {
@@ -101,7 +111,10 @@
   }
 }
 
-/** Sources with a single process: its first line needs no name. */
+/**
+ * Lists the sources with a single process: only there can `program_starting`,
+ * which lacks a process name, be attributed to a gate.
+ */
 function listSingleProcessSources(
   lines: readonly SourcedLine[],
 ): ReadonlySet<string> {
@@ -129,7 +142,7 @@
   return steps;
 }
 
-/** Gates that wrote the lines. */
+/** Lists the process names of the gates that wrote the lines. */
 function listGates(lines: readonly SourcedLine[]): ReadonlySet<string> {
   const events = lines.flatMap(({event}) =>
     event === PROGRAM_STARTING ? [] : event,
@@ -157,7 +170,7 @@
   return collector.list();
 }
 
-/** Lines that gates reported as dropped. */
+/** Sums the numbers of log lines that gates reported as dropped. */
 function countDropped(incarnations: readonly GateIncarnation[]): number {
   return incarnations
     .flatMap(gateIncarnation => gateIncarnation.lines)
@@ -171,11 +184,12 @@
 }
 
 /**
- * Reads log files, or every `.log` file of a folder.
+ * Reads the lines of gates from log files, or from every `.log` file of a
+ * folder, grouped by incarnation.
  *
- * @throws InputFileError when a file is missing or no line is a gate's.
+ * @throws InputFileError when a file is missing or no line was written by a gate.
  * @example
- * readGateLogs(['runs/soak-112']).lives.length;
+ * readGateLogs(['runs/soak-112']).incarnations.length;
  */
 export function readGateLogs(paths: readonly string[]): GateLogs {
   const {files, lines, malformedLines, foreignLines, repeatedLines} =
--- a/packages/nutmeggauge/src/losses/judge-request.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.ts
@@ -1,5 +1,6 @@
 /**
- * Judges a request: its kind, its worth, and the cause by which that was lost.
+ * Judges a request: resolves its kind and worth, and the cause by which worth
+ * was lost.
  */
 import {resolveBucket} from '../load/workload.js';
 import {findObjective} from './objectives.js';
@@ -13,7 +14,7 @@
   AttemptEnd,
 } from './client-attempts.js';
 
-/** Outcomes of requests that reached no target. */
+/** Outcomes of requests that no target executed. */
 const REFUSED_OUTCOMES: ReadonlySet<string> = new Set([
   'no_target',
   'not_run',
@@ -21,45 +22,50 @@
   'overloaded',
 ]);
 
-/** First status of a server failure (RFC 9110, 15.6). */
+/** Lowest HTTP status code of a server error (RFC 9110, 15.6). */
 const MIN_FAILURE_STATUS = 500;
 
-/** Name of a route or kind that no line gives. */
+/** Placeholder for a route or kind that no log line contains. */
 export const UNKNOWN = '?';
 
-/** Predicted and actual time to first token. */
+/** Predicted and actual time to first token of a request. */
 export interface TtftForecast {
   /** Predicted time from the arrival to the first token, in ms. */
   readonly predictedMs: number;
   readonly ttftMs: number;
-  /** Age of the gate's facts at the placement, in ms. */
+  /** Age of the gate's copy of the fleet state at the placement, in ms. */
   readonly factsAgeMs: number;
 }
 
-/** One request as judged. */
+/** A request with its worth, and the cause by which it lost worth. */
 export interface JudgedRequest {
   readonly requestId: string | undefined;
   readonly route: string;
   readonly kind: string;
-  /** Size class of the prompt; `-` for a request without one. */
+  /** Length bucket of the prompt; `-` for a request without a prompt. */
   readonly size: string;
   readonly tokens: number | undefined;
-  /** Wall clock of the gate where it arrived first, in ms. */
+  /**
+   * First arrival of the request, as wall-clock time of the gate there, in ms.
+   */
   readonly arrivedAt: number;
   readonly worth: number;
   readonly cause: Cause | undefined;
   readonly lost: number;
-  /** Its end is not in the log. */
+  /**
+   * The end of the request is not in the log, and its gate process is not known
+   * to have ended before.
+   */
   readonly isOpen: boolean;
-  /** Its route has an objective. */
+  /** The route of the request has a latency objective. */
   readonly hasObjective: boolean;
   readonly forecast: TtftForecast | undefined;
   readonly attempt: ClientAttempt;
 }
 
 /**
- * Largest difference between a timestamp and a rounded duration of the same
- * clock, in ms.
+ * Largest difference that rounding causes between a logged timestamp and a
+ * logged duration of the same clock, in ms.
  */
 const TIMESTAMP_TOLERANCE_MS = 5;
 
@@ -69,7 +75,8 @@
   ttftMs: number,
 ): PlacementRecord | undefined {
   const firstTokenAt = attempt.arrivedAt + ttftMs;
-  // After a clock step the timestamps do not fit, and there is no forecast.
+  // If the clock was set back or forward in between, no placement lies in this
+  // range, and there is no forecast.
   return attempt.placements.findLast(
     ({t}) =>
       t >= attempt.arrivedAt - TIMESTAMP_TOLERANCE_MS && t <= firstTokenAt,
@@ -117,13 +124,16 @@
   if (end.isRefusedBeforeRouting || REFUSED_OUTCOMES.has(end.outcome))
     return 'refused';
   if (end.outcome === 'caller_left') return 'caller-left';
-  // A failure of the target is an answer, but no success.
+  // A server error of the target is logged as `answered`, but is no success.
   const isFailed = (end.status ?? 0) >= MIN_FAILURE_STATUS;
   if (end.outcome !== 'answered' || isFailed) return 'cut';
   return judgeLatency(end, objective, forecast);
 }
 
-/** Finds a value that any client attempt gives: early refusals lack most. */
+/**
+ * Finds the first client attempt with a value and returns that value: attempts
+ * refused before routing lack most values.
+ */
 function findAttemptValue<T>(
   attempts: readonly ClientAttempt[],
   read: (attempt: ClientAttempt) => T | undefined,
--- a/packages/nutmeggauge/src/losses/loss-page.ts
+++ b/packages/nutmeggauge/src/losses/loss-page.ts
@@ -1,4 +1,4 @@
-/** The page that `nutmeggauge losses --html` writes. */
+/** Renders the HTML page that `nutmeggauge losses --html` writes. */
 import {renderLanes} from '../bench/charts.js';
 import {formatHtml, renderHtmlTable, renderPage} from '../bench/page.js';
 import {CAUSE_NAMES} from './causes.js';
@@ -8,12 +8,15 @@
 import type {JudgedRequest} from './judge-request.js';
 import type {LossAnalysis} from './summarize-losses.js';
 
-/** Legend of the bars; the selected prompt's are drawn last. */
+/**
+ * Legend and style of the bars; those of the selected prompt are drawn last, on
+ * top of all others.
+ */
 const BAR_STYLES = [
   {name: 'prefill', color: '#3b78c4', opacity: 0.35},
   {name: 'decode', color: '#4a9d5b', opacity: 0.35},
-  {name: 'the prompt, prefill', color: '#d62828', opacity: 0.9},
-  {name: 'the prompt, decode', color: '#f4a03a', opacity: 0.9},
+  {name: 'selected prompt, prefill', color: '#d62828', opacity: 0.9},
+  {name: 'selected prompt, decode', color: '#f4a03a', opacity: 0.9},
 ] as const;
 
 function findStyleIndex({phase, isSelected}: ActivitySpan): number {
@@ -48,7 +51,7 @@
 }
 
 /**
- * Draws the activity of engines around a prompt.
+ * Renders the engine activity during a selected prompt as a plot.
  *
  * @example
  * renderActivity(listActivity(requests, request));
@@ -58,21 +61,21 @@
   const originMs = request.attempt.arrivedAt;
   return renderLanes(
     describePrompt(request),
-    's since its arrival',
+    's since the arrival of the request',
     engines.flatMap(engine => [`${engine} prefill`, `${engine} decode`]),
     [(from - originMs) / 1000, (to - originMs) / 1000],
     listSeries(activity),
   );
 }
 
-/** Limits of the plot. */
+/** Note below the plot on what the bars mean. */
 const PLOT_NOTE =
-  'A prefill bar lasts from the placement to the first token: the log does not tell when an engine prefilled its shard. A darker bar is several streams at once.';
+  'A prefill bar lasts from the placement to the first token, because the log does not show when an engine prefilled its shard. A darker bar means several concurrent streams.';
 
 /**
- * Renders the whole page.
+ * Renders the whole HTML page.
  *
- * @param activity - Absent when no stream was placed.
+ * @param activity - Engine activity to plot; absent if no stream was placed.
  * @example
  * renderLossPage(analysis, activity);
  */
@@ -85,7 +88,7 @@
     .join('\n');
   const plot =
     activity === undefined
-      ? ['<p>No stream was placed: nothing to draw.</p>']
+      ? ['<p>No stream was placed, so there is no engine activity to plot.</p>']
       : [renderActivity(activity), `<p>${PLOT_NOTE}</p>`];
   return renderPage('nutmeggauge losses', [
     `<ul>${lines}</ul>`,
@@ -93,7 +96,7 @@
       `<h2>${formatHtml(table.title)}</h2>`,
       renderHtmlTable(table),
     ]),
-    '<h2>Engines around one prompt</h2>',
+    '<h2>Engine activity during one prompt</h2>',
     ...plot,
   ]);
 }
--- a/packages/nutmeggauge/src/losses/losses.test.ts
+++ b/packages/nutmeggauge/src/losses/losses.test.ts
@@ -129,7 +129,7 @@
     const {html} = createOutputPaths();
     expect(() => runLosses({paths, html, request: 'nobody'})).toThrow(
       UnknownRequestError,
-      'no line names the request nobody',
+      'no log line has the request id nobody',
     );
     expect(existsSync(html)).toEqual(false);
   });
--- a/packages/nutmeggauge/src/losses/losses.ts
+++ b/packages/nutmeggauge/src/losses/losses.ts
@@ -1,6 +1,6 @@
 /**
- * `nutmeggauge losses`: the worth that requests lost, by cause, from the
- * decision logs of gates.
+ * Implements `nutmeggauge losses`: analyses the worth that requests lost, by
+ * cause, from the decision logs of gates.
  */
 import {writeFileSync} from 'node:fs';
 import {formatTextTable} from '../bench/page.js';
@@ -14,27 +14,27 @@
 import type {JudgedRequest} from './judge-request.js';
 import type {LossAnalysis} from './summarize-losses.js';
 
-/** Options of the command. */
+/** Options of `nutmeggauge losses`. */
 export interface LossesOptions {
-  /** Log files, or folders of them. */
+  /** Log files, or folders with `.log` files. */
   readonly paths: readonly string[];
   /**
-   * File of the routes' objectives.
-   * @default none: late answers are not told apart
+   * File with the latency objectives of the routes.
+   * @default none: no answer counts as late
    */
   readonly objectives?: string;
   /**
-   * Where the whole analysis is written as JSON.
+   * Output path of the whole analysis as JSON.
    * @default not written
    */
   readonly json?: string;
   /**
-   * Where the page is written.
+   * Output path of the HTML page.
    * @default not written
    */
   readonly html?: string;
   /**
-   * The request that the page's plot shows.
+   * Id of the request whose engine activity the page plots.
    * @default the largest late prompt
    */
   readonly request?: string;
@@ -60,12 +60,12 @@
   if (found !== undefined) return found;
   throw new UnknownRequestError(
     {info: {requestId}},
-    `no line names the request ${requestId}`,
+    `no log line has the request id ${requestId}`,
   );
 }
 
 /**
- * Renders the analysis as text.
+ * Formats the analysis as text.
  *
  * @example
  * process.stdout.write(formatLosses(analysis));
@@ -78,12 +78,13 @@
 }
 
 /**
- * Analyses logs, writes the files that were asked for, and returns the text.
+ * Analyses logs, writes the requested output files, and returns the analysis as
+ * text.
  *
- * @throws InputFileError when a log is missing or holds no line of a gate.
- * @throws SettingsError when the file of objectives is bad.
- * @throws UnknownRequestError when no line names the asked request.
- * @throws OutputFileError when a file cannot be written.
+ * @throws InputFileError when a log is missing or no line was written by a gate.
+ * @throws SettingsError when the file with the objectives is invalid.
+ * @throws UnknownRequestError when no log line has the requested id.
+ * @throws OutputFileError when an output file cannot be written.
  * @example
  * process.stdout.write(runLosses({paths: ['all.log'], html: 'losses.html'}));
  */
--- a/packages/nutmeggauge/src/losses/objectives.ts
+++ b/packages/nutmeggauge/src/losses/objectives.ts
@@ -1,31 +1,37 @@
-/** Latency objectives of routes, given by the user: gates do not log them. */
+/**
+ * Loads the latency objectives of routes from a file of the user, because gates
+ * do not log them.
+ */
 import {loadSettings} from '@nutmeggauge/core';
 import {z} from 'zod';
 
 const ObjectiveSchema = z.strictObject({
-  /** Time to first token of a stream, complete answer of a call, in ms. */
+  /**
+   * Largest time to the first token of a stream, or to the complete answer of a
+   * call, in ms.
+   */
   ttftMs: z.number().positive(),
   /** Largest inter-token latency of a stream, in ms. */
   itlMs: z.number().positive().optional(),
 });
 
 const ObjectivesSchema = z.strictObject({
-  /** For each route by its name. */
+  /** Objectives by route name. */
   routes: z.record(z.string(), ObjectiveSchema).default({}),
-  /** For every other route. */
+  /** Objective of the routes that `routes` does not contain. */
   others: ObjectiveSchema.optional(),
 });
 
 export type Objective = z.output<typeof ObjectiveSchema>;
 export type Objectives = z.output<typeof ObjectivesSchema>;
 
-/** Without objectives nothing is late. */
+/** Empty objectives, by which no answer counts as late. */
 export const NO_OBJECTIVES: Objectives = {routes: {}};
 
 /**
- * Reads the file of objectives.
+ * Loads the latency objectives from a file.
  *
- * @throws SettingsError when it cannot be read or a key is bad.
+ * @throws SettingsError when the file cannot be read or a key is invalid.
  * @example
  * loadObjectives('objectives.yaml').routes.chat.ttftMs; // 300
  */
@@ -34,7 +40,7 @@
 }
 
 /**
- * Finds the objective of a route.
+ * Finds the latency objective of a route.
  *
  * @example
  * findObjective(objectives, 'chat');
--- a/packages/nutmeggauge/src/losses/sourced-lines.ts
+++ b/packages/nutmeggauge/src/losses/sourced-lines.ts
@@ -1,24 +1,27 @@
 /**
- * Reads log lines with their source, and counts the ignored ones. Lines keep
- * the order of their file, as a host's clock may be set back.
+ * Reads log lines with their sources, and counts ignored lines. Lines keep the
+ * order of their file, because a host's clock may be set back.
  */
 import {listLogFiles, readRawLines} from '../timeline/log-files.js';
 import {isTimelineEvent} from '../timeline/merge.js';
 import type {RawLine} from '../timeline/log-files.js';
 import type {TimelineEvent} from '../timeline/merge.js';
 
-/** First event of a process, before it knows its name. */
+/** First event of a process, logged before the process knows its name. */
 export const PROGRAM_STARTING = 'program_starting';
 
-/** A line with the process or file that it came from. */
+/**
+ * A log line with its source: the file, and the collector's prefix if there is
+ * one.
+ */
 export interface SourcedLine {
   readonly source: string;
   readonly event: TimelineEvent | typeof PROGRAM_STARTING;
-  /** The line's JSON as it was written. */
+  /** JSON text of the line, as logged. */
   readonly text: string;
 }
 
-/** Lines of all files, and counts of the ignored ones. */
+/** Log lines of all files, and counts of ignored and repeated lines. */
 export interface SourcedLines {
   readonly files: readonly string[];
   readonly lines: readonly SourcedLine[];
@@ -26,12 +29,13 @@
   readonly malformedLines: number;
   /** JSON lines of other programs. */
   readonly foreignLines: number;
-  /** Lines that occur in an earlier file. */
+  /** Lines left out because an earlier file contains them as well. */
   readonly repeatedLines: number;
 }
 
 /**
- * Source of a line: the last word of the collector's prefix, or else the file.
+ * Resolves the source of a line: the file, followed by the last word of the
+ * collector's prefix if there is one.
  */
 function resolveSource(file: string, prefix: string): string {
   return prefix === '' ? file : `${file} ${prefix.split(/\s+/).at(-1)}`;
@@ -47,12 +51,12 @@
     : undefined;
 }
 
-/** What one file holds. */
+/** Log lines of one file, and counts of its ignored lines. */
 interface FileLines {
   readonly lines: readonly SourcedLine[];
   readonly malformed: number;
   readonly foreign: number;
-  /** First timestamp; infinite if there is none. */
+  /** First timestamp in the file, in ms; infinite if there is none. */
   readonly firstTimestamp: number;
 }
 
@@ -70,8 +74,9 @@
 }
 
 /**
- * Removes lines that occur in an earlier file, as logs are often given by host
- * and merged as well. Equal lines within a file are different events.
+ * Merges files without the lines that occur in an earlier file, because logs
+ * are often given both by host and merged. Equal lines within a file are
+ * different events.
  */
 function mergeFiles(files: readonly FileLines[]): readonly SourcedLine[] {
   const seen = new Set<string>();
@@ -89,8 +94,8 @@
 }
 
 /**
- * Reads log files, or every `.log` file of a folder, ordered by their first
- * timestamps.
+ * Reads log files, or every `.log` file of a folder, with files ordered by
+ * their first timestamps.
  *
  * @throws InputFileError when a file is missing or cannot be read.
  * @example
--- a/packages/nutmeggauge/src/losses/summarize-engines.ts
+++ b/packages/nutmeggauge/src/losses/summarize-engines.ts
@@ -1,20 +1,25 @@
-/** Losses by engine. */
+/** Summarizes late answers and lost worth by engine. */
 import {isLate} from './worth.js';
 import type {JudgedRequest} from './judge-request.js';
 
-/** Losses of one engine. */
+/** Late answers, lost worth and failed attempts of one engine. */
 export interface EngineLosses {
   readonly target: string;
-  /** Streams that it answered completely. */
+  /** Streams that the engine answered completely. */
   readonly answers: number;
   readonly late: number;
-  /** Of these, by inter-token latency alone. */
+  /**
+   * Late answers whose first token was in time, but whose inter-token latency
+   * was above the objective.
+   */
   readonly lateItl: number;
-  /** Worth lost by its late answers. */
+  /** Worth lost by the engine's late answers. */
   readonly lost: number;
-  /** Late answers of other engines that it helped. */
+  /**
+   * Late answers of other engines whose prompts this engine helped to prefill.
+   */
   readonly helpedLate: number;
-  /** Attempts that failed at it. */
+  /** Attempts that failed at the engine. */
   readonly failedAttempts: number;
 }
 
@@ -60,7 +65,7 @@
 }
 
 /**
- * Summarizes each engine, most late answers first.
+ * Summarizes the losses of each engine, most late answers first.
  *
  * @example
  * summarizeEngines(requests)[0].target;
@@ -69,7 +74,7 @@
   requests: readonly JudgedRequest[],
 ): readonly EngineLosses[] {
   const tallies = new EngineTallies();
-  // Only streams have engines; calls go to plain services.
+  // Only streams are served by engines; calls go to plain services.
   for (const request of requests)
     if (request.kind === 'stream') countRequest(tallies, request);
   return [...tallies.list()].sort(
--- a/packages/nutmeggauge/src/losses/summarize-forecasts.ts
+++ b/packages/nutmeggauge/src/losses/summarize-forecasts.ts
@@ -1,6 +1,6 @@
 /**
- * Errors of predicted times to first token, by prompt size and age of the
- * facts.
+ * Summarizes the errors of predicted times to first token, by prompt size and
+ * by age of the gate's copy of the fleet state.
  */
 import {quantileSorted} from 'simple-statistics';
 import {LENGTH_BUCKETS} from '../load/workload.js';
@@ -12,10 +12,13 @@
  */
 const AGE_BOUNDS_MS = [50, 200, 1000, 4000] as const;
 
-/** All age classes together. */
+/** Class that contains forecasts of every age. */
 export const ALL_AGES = 'all';
 
-/** Forecast errors of one class, in ms; positive is later than predicted. */
+/**
+ * Forecast errors of one size and age class, in ms; a positive error is a first
+ * token later than predicted.
+ */
 export interface ForecastErrors {
   readonly size: string;
   readonly age: string;
@@ -38,7 +41,7 @@
   resolveAgeClass(Infinity),
 ];
 
-/** A forecast with its classes. */
+/** Forecast error of one request, with its size and age class. */
 interface ForecastSample {
   readonly size: string;
   readonly age: string;
@@ -57,7 +60,7 @@
 }
 
 /**
- * Summarizes forecast errors by size and age.
+ * Summarizes forecast errors by prompt size and age of the fleet state.
  *
  * @example
  * summarizeForecasts(requests)[0].p90;
--- a/packages/nutmeggauge/src/losses/summarize-kinds.ts
+++ b/packages/nutmeggauge/src/losses/summarize-kinds.ts
@@ -1,34 +1,35 @@
-/** Worth lost by cause, for each route, kind and prompt size. */
+/** Summarizes lost worth by cause, for each route, kind and prompt size. */
 import {CAUSES} from './causes.js';
 import type {Cause} from './causes.js';
 import type {JudgedRequest} from './judge-request.js';
 
-/** Requests and worth. */
+/** Number of requests with one cause, and the worth that they lost. */
 export interface LossSum {
   readonly requests: number;
   readonly worth: number;
 }
 
-/** Losses of one kind of request. */
+/** Losses of the requests with one route, kind and prompt size. */
 export interface KindLosses {
   readonly route: string;
   readonly kind: string;
   readonly size: string;
   readonly requests: number;
-  /** Worth of them all. */
+  /** Worth of all these requests. */
   readonly worth: number;
   readonly lost: number;
   readonly byCause: Readonly<Record<Cause, LossSum>>;
   /**
-   * Estimated worth of requests that would have arrived during gaps of gates.
+   * Estimated worth of requests that would have arrived in gaps between gate
+   * incarnations.
    */
   readonly estimatedNoGate: number;
-  /** Its route has an objective, so late answers are known. */
+  /** The route has a latency objective, so late answers are detected. */
   readonly hasObjective: boolean;
 }
 
 /**
- * Sums requests by their causes.
+ * Sums requests and their lost worth by cause.
  *
  * @example
  * sumByCause(requests).refused.worth;
@@ -64,7 +65,7 @@
 }
 
 /**
- * Groups requests by a key.
+ * Groups items by a key.
  *
  * @example
  * listByKey(requests, ({route}) => route).get('chat');
@@ -83,9 +84,11 @@
 }
 
 /**
- * Summarizes each kind of request, largest loss first.
+ * Summarizes the losses for each route, kind and prompt size, largest loss
+ * first.
  *
- * @param gapWorth - Estimate of what gates were not there for, of all kinds.
+ * @param gapWorth - Estimated worth of all requests that would have arrived in
+ *   gaps between gate incarnations.
  * @example
  * summarizeKinds(requests, 0)[0].lost;
  */
@@ -109,7 +112,7 @@
         worth,
         lost: sumLost(members),
         byCause: sumByCause(members),
-        // Assumes the mix of the requests that did arrive.
+        // Assumes that missed requests have the same mix as those that arrived.
         estimatedNoGate: totalWorth > 0 ? (gapWorth * worth) / totalWorth : 0,
         hasObjective,
       };
--- a/packages/nutmeggauge/src/losses/summarize-losses.ts
+++ b/packages/nutmeggauge/src/losses/summarize-losses.ts
@@ -1,4 +1,4 @@
-/** The whole analysis of `nutmeggauge losses`. */
+/** Builds the whole analysis of `nutmeggauge losses`. */
 import {estimateRates, listGaps} from './gate-gaps.js';
 import {UNKNOWN, judgeRequest} from './judge-request.js';
 import {summarizeEngines} from './summarize-engines.js';
@@ -15,21 +15,26 @@
 import type {KindLosses} from './summarize-kinds.js';
 import type {LossWindow} from './summarize-windows.js';
 
-/** Coverage of the logs. */
+/** Files, requests and known omissions of the logs. */
 export interface LogCoverage {
   readonly files: readonly string[];
   readonly gates: number;
   readonly requests: number;
-  /** Requests whose end is not in the log. */
+  /** Requests whose end is not in the logs. */
   readonly openRequests: number;
-  /** First tokens without a forecast: dropped lines, or clock steps. */
+  /**
+   * Requests with a first token but no forecast, because of dropped lines or
+   * clock steps.
+   */
   readonly withoutForecast: number;
   readonly malformedLines: number;
   readonly foreignLines: number;
   readonly repeatedLines: number;
   readonly droppedLines: number;
   readonly clockSteps: Readonly<Record<string, number>>;
-  /** Routes without an objective, whose late answers are unknown. */
+  /**
+   * Routes without a latency objective, whose late answers are not detected.
+   */
   readonly routesWithoutObjective: readonly string[];
 }
 
@@ -39,7 +44,8 @@
   readonly worth: number;
   readonly lost: number;
   /**
-   * Estimated worth of requests that would have arrived during gaps of gates.
+   * Estimated worth of requests that would have arrived in gaps between gate
+   * incarnations.
    */
   readonly estimatedNoGate: number;
   readonly kinds: readonly KindLosses[];
@@ -50,7 +56,7 @@
 }
 
 /**
- * Judges every request of the logs.
+ * Judges every request in the logs.
  *
  * @example
  * judgeRequests(readGateLogs(['all.log']), objectives);
@@ -94,7 +100,7 @@
 }
 
 /**
- * Summarizes the judged requests.
+ * Summarizes the losses of judged requests.
  *
  * @example
  * summarizeLosses(logs, judgeRequests(logs, objectives)).lost;
--- a/packages/nutmeggauge/src/losses/summarize-windows.ts
+++ b/packages/nutmeggauge/src/losses/summarize-windows.ts
@@ -1,22 +1,22 @@
-/** Time windows of arrivals with the largest losses. */
+/** Summarizes losses by the time window in which requests arrived. */
 import {CAUSES} from './causes.js';
 import {listByKey, sumByCause, sumLost, sumWorth} from './summarize-kinds.js';
 import type {Cause} from './causes.js';
 import type {JudgedRequest} from './judge-request.js';
 import type {LossSum} from './summarize-kinds.js';
 
-/** Length of a window, in ms. */
+/** Length of a time window, in ms. */
 export const WINDOW_MS = 2000;
 
-/** One window. */
+/** Losses of the requests that arrived in one time window. */
 export interface LossWindow {
-  /** Begin on the gates' wall clock, in ms. */
+  /** Start of the window as wall-clock time of the gates, in ms. */
   readonly from: number;
   readonly requests: number;
   readonly worth: number;
   readonly lost: number;
   readonly byCause: Readonly<Record<Cause, LossSum>>;
-  /** The cause of the largest loss. */
+  /** Cause with the largest lost worth. */
   readonly mainCause: Cause;
 }
 
@@ -39,7 +39,7 @@
 }
 
 /**
- * Lists the windows with a loss, largest first.
+ * Lists the time windows with a loss, largest loss first.
  *
  * @example
  * summarizeWindows(requests)[0].mainCause;
--- a/packages/nutmeggauge/src/losses/tables.ts
+++ b/packages/nutmeggauge/src/losses/tables.ts
@@ -1,4 +1,4 @@
-/** Text tables of the analysis, for the terminal and the page. */
+/** Builds the tables of the analysis for the terminal and the HTML page. */
 import {CAUSES, CAUSE_NAMES} from './causes.js';
 import {WINDOW_MS} from './summarize-windows.js';
 import type {TextTable} from '../bench/page.js';
@@ -14,7 +14,7 @@
   readonly title: string;
 }
 
-/** Rows of a table that are shown; `--json` has all. */
+/** Default limit of rows shown in a table; `--json` contains all rows. */
 const MAX_ROWS = 15;
 
 type Column<T> = readonly [title: string, read: (row: T) => string];
@@ -54,13 +54,13 @@
         },
       ] as const,
   ),
-  ['no gate there (estimate)', k => formatWorth(k.estimatedNoGate)],
+  ['missed in gate gaps (estimate)', k => formatWorth(k.estimatedNoGate)],
 ];
 
 const FORECAST_COLUMNS: ReadonlyArray<Column<ForecastErrors>> = [
   ['prompt', f => f.size],
-  ['age of facts', f => f.age],
-  ['first tokens', f => String(f.count)],
+  ['age of fleet state', f => f.age],
+  ['forecast count', f => String(f.count)],
   ['p50', f => String(f.p50)],
   ['p90', f => String(f.p90)],
   ['most', f => String(f.most)],
@@ -79,22 +79,22 @@
   ['requests', m => String(m.requests)],
   ['worth', m => formatWorth(m.worth)],
   ['lost', m => formatWorth(m.lost)],
-  ['most by', m => CAUSE_NAMES[m.mainCause]],
-  ['of it', m => formatWorth(m.byCause[m.mainCause].worth)],
+  ['main cause', m => CAUSE_NAMES[m.mainCause]],
+  ['lost by main cause', m => formatWorth(m.byCause[m.mainCause].worth)],
 ];
 
 const ENGINE_COLUMNS: ReadonlyArray<Column<EngineLosses>> = [
   ['engine', e => e.target],
   ['answers', e => String(e.answers)],
   ['late', e => String(e.late)],
-  ['of these by inter-token latency', e => String(e.lateItl)],
+  ['late by inter-token latency', e => String(e.lateItl)],
   ['worth lost', e => formatWorth(e.lost)],
-  ['helped with late ones', e => String(e.helpedLate)],
+  ['late answers helped with', e => String(e.helpedLate)],
   ['failed attempts', e => String(e.failedAttempts)],
 ];
 
 /**
- * Builds every table of an analysis.
+ * Builds all tables of an analysis.
  *
  * @example
  * buildTables(analysis).map(({title}) => title);
@@ -102,21 +102,26 @@
 export function buildTables(analysis: LossAnalysis): readonly TitledTable[] {
   const {kinds, forecasts, gaps, windows, engines} = analysis;
   return [
-    // All forecast classes are shown, as there are few.
-    buildTable('Worth lost by cause (requests)', KIND_COLUMNS, kinds, Infinity),
+    // All kinds and forecast classes are shown, because there are few.
     buildTable(
-      'Time to first token beyond its forecast, ms',
+      'Worth lost by cause (number of requests)',
+      KIND_COLUMNS,
+      kinds,
+      Infinity,
+    ),
+    buildTable(
+      'Time to first token minus forecast, ms',
       FORECAST_COLUMNS,
       forecasts,
       Infinity,
     ),
     buildTable(
-      `Windows of ${WINDOW_MS / 1000} s, worst first`,
+      `Windows of ${WINDOW_MS / 1000} s, largest loss first`,
       WINDOW_COLUMNS,
       windows,
     ),
     buildTable('Engines, most late answers first', ENGINE_COLUMNS, engines),
-    buildTable('No gate there', GAP_COLUMNS, gaps),
+    buildTable('Gaps between gate incarnations', GAP_COLUMNS, gaps),
   ];
 }
 
@@ -125,9 +130,9 @@
     [coverage.malformedLines, 'malformed or truncated lines ignored'],
     [coverage.foreignLines, 'lines of other programs ignored'],
     [coverage.repeatedLines, 'repeated lines counted once'],
-    [coverage.droppedLines, 'lines that gates dropped'],
-    [coverage.openRequests, 'requests whose end is not in the log, left out'],
-    [coverage.withoutForecast, 'first tokens whose forecast is not known'],
+    [coverage.droppedLines, 'log lines dropped by gates'],
+    [coverage.openRequests, 'requests without an end in the log, left out'],
+    [coverage.withoutForecast, 'first tokens without a known forecast'],
   ];
   return counts
     .filter(([count]) => count > 0)
@@ -135,7 +140,8 @@
 }
 
 /**
- * Describes the coverage of the logs, one line each.
+ * Describes the totals of the analysis and the coverage of the logs in one line
+ * each.
  *
  * @example
  * describeAnalysis(analysis)[0]; // '3 gates, 719 requests in 3 files'
@@ -145,14 +151,14 @@
   const {routesWithoutObjective: routes} = coverage;
   return [
     `${coverage.gates} gates, ${coverage.requests} requests in ${coverage.files.length} files`,
-    `lost ${formatWorth(lost)} of ${formatWorth(worth)}; arrivals while gates were not there, estimated: ${formatWorth(estimatedNoGate)}`,
+    `worth lost: ${formatWorth(lost)} of ${formatWorth(worth)}; worth missed in gate gaps (estimate): ${formatWorth(estimatedNoGate)}`,
     ...listCounts(coverage),
     ...Object.entries(coverage.clockSteps).map(
-      ([proc, steps]) => `the clock of ${proc} went back ${steps} times`,
+      ([proc, steps]) => `the clock of ${proc} was set back ${steps} times`,
     ),
     ...(routes.length > 0
       ? [
-          `no objective given for ${routes.join(', ')}: their late answers count as in time (--objectives)`,
+          `no latency objective for ${routes.join(', ')}: late answers on these routes count as in time (see --objectives)`,
         ]
       : []),
   ];
--- a/packages/nutmeggauge/src/losses/worth.ts
+++ b/packages/nutmeggauge/src/losses/worth.ts
@@ -1,17 +1,24 @@
-/** Worth of a request, and the part that is lost by how it ended. */
+/**
+ * Estimates the worth of a request, relative to a short one, and the part that
+ * is lost by the way the request ended.
+ */
 import type {Cause} from './causes.js';
 
 /**
- * Prompt tokens worth as much as one short request, as in the gates' placement.
+ * Number of prompt tokens worth as much as one short request; the gate's
+ * placement uses the same number.
  */
 const TOKENS_PER_WORTH = 10_000;
 
-/** Share of its worth that a late answer loses, as in the gates' placement. */
+/**
+ * Share of its worth that a late answer loses; the gate's placement uses the
+ * same share.
+ */
 export const LATE_LOSS = 0.75;
 
 /**
- * Estimates a request's worth: 1 for a call or a short prompt, more for a
- * longer one.
+ * Estimates the worth of a request: 1 for a call or a short prompt, more for a
+ * longer prompt.
  *
  * @example
  * estimateWorth(154_000); // 16.4
@@ -28,7 +35,7 @@
 ]);
 
 /**
- * True if the request was answered late.
+ * Returns whether a cause is a late answer.
  *
  * @example
  * isLate('late-itl'); // true
@@ -38,7 +45,7 @@
 }
 
 /**
- * Estimates the worth that is lost by `cause`.
+ * Estimates the worth that a request loses by `cause`.
  *
  * @example
  * estimateLost(2, 'late-itl'); // 1.5
--- a/packages/nutmeggauge/src/timeline/explain.ts
+++ b/packages/nutmeggauge/src/timeline/explain.ts
@@ -1,22 +1,22 @@
 /**
- * `nutmeggauge explain`: the log lines of one request, with the state of its
- * targets and the configuration meanwhile.
+ * Implements `nutmeggauge explain`: picks the log lines of one request, with
+ * the changes of its targets and of the configuration at that time.
  */
 import type {TimelineEvent} from './merge.js';
 
 /**
- * Time before a request that is shown, in ms: causes such as a target's drain
- * precede it by seconds.
+ * Time shown before the first line of a request, in ms: causes such as a
+ * target's drain precede a request by seconds.
  */
 const CONTEXT_BEFORE_MS = 5000;
 
-/** Time after a request that is shown, in ms. */
+/** Time shown after the last line of a request, in ms. */
 const CONTEXT_AFTER_MS = 500;
 
-/** Fields of a line that name targets. */
+/** Fields of a log line that contain ids of targets. */
 const TARGET_FIELDS = ['target', 'decoder', 'tried', 'helpers', 'id'] as const;
 
-/** Changes of state that concern every request of a process. */
+/** State changes that affect every request of a process. */
 const PROCESS_EVENTS: ReadonlySet<string> = new Set([
   'config_applied',
   'store_lost',
@@ -43,10 +43,10 @@
 }
 
 /**
- * Picks the lines that explain a request: its own, those of its targets, and
- * changes of state at its processes.
+ * Picks the log lines that explain a request: its own lines, those about its
+ * targets, and state changes of the processes that logged it.
  *
- * @param events - A merged time line.
+ * @param events - Merged log lines, ordered by timestamp.
  * @example
  * explainRequest(mergeTimeline(['run.log']), '9c41d07be2a35f68');
  */
--- a/packages/nutmeggauge/src/timeline/log-files.ts
+++ b/packages/nutmeggauge/src/timeline/log-files.ts
@@ -1,11 +1,14 @@
-/** Reads log files: JSON lines, after any prefix that a collector adds. */
+/**
+ * Reads log files of JSON lines, each after any prefix that a log collector
+ * adds.
+ */
 import {readFileSync, readdirSync, statSync} from 'node:fs';
 import {join} from 'node:path';
 import {InputFileError} from '../cli/errors.js';
 
 /** A log line before its fields are checked. */
 export interface RawLine {
-  /** The text before the JSON, trimmed. */
+  /** The text before the JSON text, trimmed. */
   readonly prefix: string;
   /** The JSON text. */
   readonly text: string;
@@ -14,9 +17,9 @@
 }
 
 /**
- * Lists the files of paths: each file, and every `.log` file of a folder.
+ * Lists the log files of paths: each file, and every `.log` file of a folder.
  *
- * @throws InputFileError when a path does not exist or no file is named.
+ * @throws InputFileError when a path cannot be read or there is no log file.
  * @example
  * listLogFiles(['runs/demo-1']);
  */
@@ -64,7 +67,7 @@
 }
 
 function parseRawLine(line: string): RawLine | undefined {
-  // Collectors may add a prefix.
+  // Log collectors may add a prefix.
   const start = line.indexOf('{');
   if (start < 0) return undefined;
   const prefix = line.slice(0, start).trim();
@@ -79,7 +82,7 @@
       ? (value as Record<string, unknown>)
       : undefined;
   } catch {
-    // Truncated, or not JSON.
+    // The text is truncated, or not JSON.
     return undefined;
   }
 }
--- a/packages/nutmeggauge/src/timeline/merge.ts
+++ b/packages/nutmeggauge/src/timeline/merge.ts
@@ -1,10 +1,10 @@
 /**
- * `nutmeggauge timeline`: merges the JSON log lines of all processes, ordered
- * by timestamp.
+ * Implements `nutmeggauge timeline`: merges the JSON log lines of all
+ * processes, ordered by timestamp.
  */
 import {listLogFiles, readRawLines} from './log-files.js';
 
-/** One log line as every process writes it. */
+/** One log line, in the format that every process writes. */
 export interface TimelineEvent {
   readonly t: number;
   readonly proc: string;
@@ -14,10 +14,10 @@
 }
 
 /**
- * Reads `.log` files (or every `.log` file of a folder) and merges them,
- * ignoring lines that are not JSON.
+ * Reads log files, or every `.log` file of a folder, and merges their lines,
+ * ignoring those that are not log lines of nutmeggauge.
  *
- * @throws InputFileError when there is no file, or one cannot be read.
+ * @throws InputFileError when there is no log file, or one cannot be read.
  * @example
  * mergeTimeline(['runs/demo-1']).map(formatTimelineEvent);
  */
@@ -31,11 +31,11 @@
   return events.sort((a, b) => a.t - b.t || a.proc.localeCompare(b.proc));
 }
 
-/** Largest timestamp of a date, in ms (ECMA-262, time values). */
+/** Largest timestamp that a `Date` can hold, in ms (ECMA-262, time values). */
 const MAX_DATE_MS = 8.64e15;
 
 /**
- * True for a log line of nutmeggauge.
+ * Returns whether an object is a log line of nutmeggauge.
  *
  * @example
  * isTimelineEvent({t: 0, proc: 'gate-1', event: 'gate_started'}); // true
@@ -52,7 +52,10 @@
   );
 }
 
-/** Fields printed in the fixed columns of a row, or omitted. */
+/**
+ * Fields that a row prints in fixed columns or omits; all others are printed as
+ * JSON.
+ */
 const COLUMN_FIELDS: ReadonlySet<string> = new Set([
   't',
   'proc',
@@ -62,7 +65,7 @@
 ]);
 
 /**
- * Renders one event as `time proc component event fields`.
+ * Formats one event as `time proc component event fields`.
  *
  * @example
  * formatTimelineEvent({t: 0, proc: 'gate-1', event: 'gate_listening'});
