--- a/packages/nutmeggauge/src/losses/gate-incarnations.test.ts
+++ b/packages/nutmeggauge/src/losses/gate-incarnations.test.ts
@@ -11,7 +11,9 @@
   return readGateLogs([writeLog(lines)]);
 }
 
-/** Summary of each life. */
+/**
+ * Summarizes each incarnation, with `from` in ms after the start of the log.
+ */
 function describeIncarnations(logs: ReturnType<typeof readGateLogs>) {
   return logs.incarnations.map(({proc, lines, servesFrom, hasSuccessor}) => ({
     proc,
@@ -21,9 +23,10 @@
   }));
 }
 
-describe('reading of gates’ logs', () => {
-  it('ignores incomplete lines and counts them', () => {
-    // Guards against foreign and truncated lines in collected logs.
+describe('readGateLogs', () => {
+  it('ignores and counts truncated lines and lines of other programs', () => {
+    // Guards against counting lines of other programs, or truncated ones, as
+    // lines of a gate.
     const logs = readLog([
       GATE_STARTED_LINE,
       'Error: boom { at x }',
@@ -42,14 +45,15 @@
     expect(logs.foreignLines).toEqual(2);
   });
 
-  it('ignores a timestamp that no clock shows', () => {
-    // Guards against a corrupt timestamp that cannot be printed as a date.
+  it('counts a line as foreign when no date can represent its timestamp', () => {
+    // Guards against a corrupt timestamp that cannot be formatted as a date.
     const logs = readLog([GATE_STARTED_LINE, {...GATE_STARTED_LINE, t: 9e15}]);
     expect(logs.foreignLines).toEqual(1);
   });
 
-  it('reads behind prefixes, and apart by their hosts', () => {
-    // Guards against attributing the first line of a process to the wrong host.
+  it('attributes program_starting to the gate on the host that the collector prefix names', () => {
+    // Guards against attributing the first line of a process to the gate of
+    // another host.
     const prefixWithHost = (host: string, line: object) =>
       `  12.3456 ${host} ${JSON.stringify(line)}`;
     const startedG2 = {...GATE_STARTED_LINE, proc: 'g2'};
@@ -72,8 +76,9 @@
     ]);
   });
 
-  it('begins a life before its gate has started', () => {
-    // Guards against splitting a life at a line that precedes its listeners.
+  it('begins an incarnation at the first line after program_starting, not at gate_started', () => {
+    // Guards against splitting an incarnation at `gate_started`, although lines
+    // such as `config_applied` precede it.
     const logs = readLog([
       PROGRAM_STARTING_LINE,
       GATE_STARTED_LINE,
@@ -92,8 +97,9 @@
     ]);
   });
 
-  it('does not guess whose first line it is in a file of several', () => {
-    // Guards against attributing first lines without a prefix to any gate.
+  it('ignores program_starting without a prefix in a file with lines of several gates', () => {
+    // Guards against attributing `program_starting`, which names no process, to
+    // an arbitrary gate of the file.
     const logs = readLog([
       GATE_STARTED_LINE,
       {...GATE_STARTED_LINE, proc: 'g2'},
@@ -106,8 +112,9 @@
     ]);
   });
 
-  it('keeps the order of the file where a clock is set back', () => {
-    // Guards against reordering lines when a clock is set back.
+  it('keeps the order of the file when a clock is set back, and counts the clock step', () => {
+    // Guards against reordering lines by timestamp when a host's clock is set
+    // back.
     const logs = readLog([
       GATE_STARTED_LINE,
       buildLine(70_000, 'config_applied'),
@@ -119,8 +126,9 @@
     expect(logs.clockSteps).toEqual({g1: 1});
   });
 
-  it('counts a line once that stands in two files', () => {
-    // Guards against counting requests twice when logs are given twice.
+  it('keeps a line that two files contain only once, and counts it as repeated', () => {
+    // Guards against counting requests twice when the same logs are given
+    // twice.
     const lines = [GATE_STARTED_LINE, buildEnded(500, 'q')];
     const logs = readGateLogs([writeLog(lines), writeLog(lines)]);
     expect(logs.incarnations.length).toEqual(1);
@@ -128,16 +136,17 @@
     expect(logs.repeatedLines).toEqual(2);
   });
 
-  it('counts equal lines of one file as many events', () => {
-    // Two callers without ids, refused in the same ms.
+  it('keeps equal lines of one file as separate events', () => {
+    // Two requests without an id can be refused in the same ms.
     const refused = buildLine(7, 'request_refused', {reason: 'stopping'});
     const logs = readLog([GATE_STARTED_LINE, refused, refused]);
     expect(logs.incarnations[0].lines.length).toEqual(3);
     expect(logs.repeatedLines).toEqual(0);
   });
 
-  it('puts the files of one gate in order', () => {
-    // Guards against rotated logs that sort after newer ones by name.
+  it('orders the files of one gate by their first timestamps', () => {
+    // Guards against reading a rotated log after a newer one because of its
+    // file name.
     const older = writeLog([GATE_STARTED_LINE, buildEnded(500, 'q')]);
     const newer = writeLog([
       buildLine(900, 'gate_started'),
@@ -148,8 +157,8 @@
     expect(logs.clockSteps).toEqual({});
   });
 
-  it('says so when there is no file, or none of a gate', () => {
-    // Guards against an empty report for the wrong folder.
+  it('throws InputFileError when no file is given, a file cannot be read, or no line was written by a gate', () => {
+    // Guards against an empty report when the wrong folder is given.
     expect(() => readGateLogs([])).toThrow(InputFileError, 'no log file named');
     expect(() => readGateLogs(['/nowhere/all.log'])).toThrow(
       InputFileError,
--- a/packages/nutmeggauge/src/losses/judge-request.test.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.test.ts
@@ -22,17 +22,17 @@
   return judgeRequests(logs, OBJECTIVES);
 }
 
-/** Cause of the only request of a log. */
+/** Judges a log with exactly one request. */
 function judgeSingle(lines: readonly LineFields[]) {
   const requests = judgeLog(lines);
   expect(requests.length).toEqual(1);
   return requests[0];
 }
 
-describe('judging of requests', () => {
-  it('tells a misprediction from a late answer that was forecast', () => {
-    // Guards against blaming the prediction for the time that a prompt was
-    // deferred.
+describe('judgeRequests', () => {
+  it('tells a late answer that was predicted in time from one that was predicted late', () => {
+    // Guards against blaming the prediction for the time for which the
+    // placement of a prompt was deferred.
     const mispredicted = judgeSingle([
       buildPlaced(10, 'q'),
       buildEnded(900, 'q', {ms: 900, ttftMs: 600}),
@@ -43,16 +43,16 @@
       ttftMs: 600,
       factsAgeMs: 20,
     });
-    const forecast = judgeSingle([
+    const predictedLate = judgeSingle([
       buildLine(5, 'stream_deferred', {requestId: 'q', predictedTtftMs: 80}),
       buildPlaced(250, 'q'),
       buildEnded(900, 'q', {ms: 900, ttftMs: 600}),
     ]);
-    expect(forecast.cause).toEqual('late-predicted');
+    expect(predictedLate.cause).toEqual('late-predicted');
   });
 
-  it('judges by the placement that produced the first token', () => {
-    // Guards against comparing with the prediction of a failed attempt.
+  it('compares the time to first token with the prediction of the placement that produced it', () => {
+    // Guards against a comparison with the prediction of a failed attempt.
     const {cause, forecast} = judgeSingle([
       buildPlaced(10, 'q'),
       buildLine(50, 'attempt_failed', {requestId: 'q', target: 'e1'}),
@@ -63,7 +63,7 @@
     expect(forecast?.predictedMs).toEqual(560);
   });
 
-  it('finds inter-token latency where the first token was in time', () => {
+  it('judges a stream late by inter-token latency when its first token was in time', () => {
     const {cause, lost, worth} = judgeSingle([
       buildPlaced(10, 'q'),
       buildEnded(900, 'q', {ms: 900, ttftMs: 300, maxItlMs: 251}),
@@ -73,7 +73,7 @@
     expect(lost).toEqual(1.125);
   });
 
-  it('finds nothing at the objectives themselves', () => {
+  it('finds no loss when both latencies equal their objectives', () => {
     const {cause, lost} = judgeSingle([
       buildPlaced(10, 'q'),
       buildEnded(900, 'q', {ms: 900, ttftMs: 300, maxItlMs: 250}),
@@ -82,7 +82,7 @@
     expect(lost).toEqual(0);
   });
 
-  it('knows each end that is no answer', () => {
+  it('assigns a cause and a full loss to each outcome that is not a successful answer', () => {
     const ends = {
       too_late: 'refused',
       overloaded: 'refused',
@@ -102,7 +102,7 @@
     expect(failed.cause).toEqual('cut');
   });
 
-  it('judges a call by its whole answer', () => {
+  it('judges a call by the time to its complete answer', () => {
     const call = {route: 'orders', kind: 'unsafe', tokens: undefined};
     const noTokens = {ttftMs: undefined, maxItlMs: undefined};
     const late = judgeSingle([
@@ -116,9 +116,9 @@
     expect(inTime.cause).toEqual(undefined);
   });
 
-  it('counts a caller that came back once, by its answer', () => {
-    // Guards against counting a request twice that a draining gate sent
-    // elsewhere.
+  it('judges a request retried at another gate once, by its answered or else its last attempt', () => {
+    // Guards against counting a request twice when a draining gate refuses it
+    // and the caller retries it at another gate.
     const judged = judgeSingle([
       buildLine(5, 'request_refused', {requestId: 'q', reason: 'stopping'}),
       {...buildPlaced(20, 'q'), proc: 'g2'},
@@ -131,12 +131,14 @@
       buildLine(600, 'request_refused', {requestId: 'q', reason: 'stopping'}),
     ]);
     expect(refused.cause).toEqual('refused');
-    // The gate that refused it early did not know its kind.
+    // The attempt refused before routing has no route, so the other attempt
+    // supplies it.
     expect(refused.route).toEqual('chat');
   });
 
-  it('loses what a gate held when its process ended', () => {
-    // Guards against calling a request lost that is open at the end of the log.
+  it('assigns gate-ended to requests in progress when their gate process ended', () => {
+    // Guards against counting a request as lost that is still open at the end
+    // of the log.
     const requests = judgeLog([
       buildPlaced(10, 'placed', {tokens: 90_000}),
       buildLine(20, 'stream_deferred', {requestId: 'kept'}),
@@ -156,8 +158,9 @@
     ]);
   });
 
-  it('loses nothing with a gate that had ended it unsaid', () => {
-    // Guards against calling a request lost whose end was dropped from the log.
+  it('leaves a request open when its gate ran on for longer than the longest request', () => {
+    // Guards against counting a request as lost when only the line of its end
+    // was dropped from the log.
     const requests = judgeLog([
       buildPlaced(10, 'unsaid'),
       buildEnded(40_000, 'other'),
@@ -172,8 +175,8 @@
     ]);
   });
 
-  it('loses what a gate held that never came back', () => {
-    // Guards against missing a request that was lost with its host.
+  it('assigns gate-ended to a request in progress at a gate that stops logging for good', () => {
+    // Guards against missing a request that was lost with the host of its gate.
     const held = buildPlaced(10, 'held');
     const buildLaterEnd = (ms: number) => ({
       ...buildEnded(ms, 'other'),
@@ -185,8 +188,8 @@
     expect(judgeLog([held, buildLaterEnd(9000)])[0].isOpen).toEqual(true);
   });
 
-  it('says nothing of a forecast that a clock was set back over', () => {
-    // Guards against a forecast error that is a clock step.
+  it('reports no forecast when the clock was set back during the request', () => {
+    // Guards against reporting a clock step as a forecast error.
     const {cause, forecast} = judgeSingle([
       buildPlaced(40_000, 'q'),
       buildEnded(10_900, 'q', {ms: 900, ttftMs: 600}),
@@ -195,7 +198,7 @@
     expect(cause).toEqual('late-unpredicted');
   });
 
-  it('calls nothing late on a route without an objective', () => {
+  it('judges no answer late on a route without an objective', () => {
     const judged = judgeSingle([
       buildEnded(900, 'q', {route: 'toString', ms: 900, ttftMs: 800}),
     ]);
@@ -203,7 +206,7 @@
     expect(judged.cause).toEqual(undefined);
   });
 
-  it('keeps requests without an id apart', () => {
+  it('judges requests without an id as separate requests', () => {
     const ends = [buildEnded(500, undefined), buildEnded(510, undefined)];
     expect(judgeLog(ends).length).toEqual(2);
   });
--- a/packages/nutmeggauge/src/losses/losses.test.ts
+++ b/packages/nutmeggauge/src/losses/losses.test.ts
@@ -24,7 +24,10 @@
 
 const OBJECTIVES = 'routes: {chat: {ttftMs: 300, itlMs: 250}}\n';
 
-/** A long late prompt, beside a longer one in time and a short late one. */
+/**
+ * Log of a long late prompt, served at the same time as a longer prompt in time
+ * and a short late one.
+ */
 const LOG_LINES = [
   buildLine(0, 'gate_started'),
   buildPlaced(1000, 'short', {decoder: 'e3'}),
@@ -46,7 +49,7 @@
 }
 
 describe('nutmeggauge losses', () => {
-  it('prints tables and writes the same as JSON and as a page', () => {
+  it('prints the tables and writes the same analysis as JSON and as an HTML page', () => {
     const outputs = createOutputPaths();
     const text = runLosses({
       paths: [writeLog(LOG_LINES)],
@@ -63,8 +66,9 @@
     expect(page).toInclude('<td>7.5</td>');
   });
 
-  it('draws the largest late prompt, its shards marked', () => {
-    // The largest late prompt is shown, not the largest one.
+  it('plots the largest late prompt and selects the spans of its engines', () => {
+    // Guards against plotting the largest prompt although its answer was in
+    // time.
     const logs = readGateLogs([writeLog(LOG_LINES)]);
     const routes = {chat: {ttftMs: 300}};
     const requests = judgeRequests(logs, {routes});
@@ -76,7 +80,7 @@
     const selectedSpans = spans
       .filter(({isSelected}) => isSelected)
       .map(span => [span.engine, span.phase, span.from - from, span.to - from]);
-    // Its arrival is one second into the plot.
+    // The plot begins one second before the arrival of the prompt.
     expect(selectedSpans).toEqual([
       ['e1', 'prefill', 1050, 1700],
       ['e2', 'prefill', 1050, 1700],
@@ -85,7 +89,7 @@
     ]);
   });
 
-  it('ends the prefill of an engine that broke off', () => {
+  it('ends the prefill span of an engine when its attempt fails', () => {
     const lines = [
       buildLine(0, 'gate_started'),
       buildPlaced(1000, 'q'),
@@ -106,7 +110,7 @@
     ]);
   });
 
-  it('keeps names of callers and engines from the page’s markup', () => {
+  it('escapes request ids, routes and engine names in the HTML page', () => {
     // Guards against script injection by a request id.
     const id = '<script>alert(1)</script>';
     const outputs = createOutputPaths();
@@ -121,7 +125,7 @@
     expect(page).toInclude('&lt;i&gt;');
   });
 
-  it('draws the asked request, and refuses one that nobody names', () => {
+  it('plots the requested request, and throws UnknownRequestError when no line has its id', () => {
     const paths = [writeLog(LOG_LINES)];
     const outputs = createOutputPaths();
     runLosses({paths, ...outputs, request: 'short'});
@@ -134,7 +138,7 @@
     expect(existsSync(html)).toEqual(false);
   });
 
-  it('names a bad file of objectives, and one that cannot be written', () => {
+  it('throws SettingsError for an invalid objective, and OutputFileError when a file cannot be written', () => {
     const paths = [writeLog(LOG_LINES)];
     const objectives = writeTestFile('o.yaml', 'routes: {chat: {fristMs: 1}}');
     expect(() => runLosses({paths, objectives})).toThrow(
@@ -147,8 +151,9 @@
     );
   });
 
-  it('goes through a log that is cut anywhere', () => {
-    // Guards against logs that begin or end in the middle of a line.
+  it('throws only command errors for a log that is cut at any position', () => {
+    // Guards against an untyped error for a log that begins or ends in the
+    // middle of a line.
     const text = LOG_LINES.map(line => JSON.stringify(line)).join('\n');
     const {html} = createOutputPaths();
     for (let at = 0; at <= text.length; at += 7) {
@@ -159,14 +164,14 @@
     }
   });
 
-  it('believes no duration of 270,000 years', () => {
-    // Guards against an arrival that cannot be printed as a date.
+  it('ignores a logged duration of 270,000 years', () => {
+    // Guards against an arrival time that cannot be formatted as a date.
     const lines = [buildEnded(0, 'q', {outcome: 1, ms: -8640000000002000})];
     const text = runLosses({paths: [writeLog(lines)]});
     expect(text).toInclude('1 requests');
   });
 
-  it('goes through lines whose fields are anything', () => {
+  it('throws only command errors for lines whose fields have arbitrary values', () => {
     // Guards against an untyped error for a log of another version.
     const events = ['gate_started', 'stream_placed', 'request_ended'];
     const line = fc.record({
@@ -196,7 +201,9 @@
   });
 });
 
-/** Accepts errors that the command line reports in one line. */
+/**
+ * Runs a function and ignores errors that the command line reports in one line.
+ */
 function runIgnoringCommandErrors(run: () => void): void {
   try {
     run();
--- a/packages/nutmeggauge/src/losses/soak-logs.test.ts
+++ b/packages/nutmeggauge/src/losses/soak-logs.test.ts
@@ -14,7 +14,9 @@
 
 const CLI_BIN = fileURLToPath(new URL('../bin.js', import.meta.url));
 
-/** A request as its caller saw it, from the soak's `history.json`. */
+/**
+ * Result of a request as its caller recorded it in the soak's `history.json`.
+ */
 interface CallerRecord {
   readonly requestId: string;
   readonly status: number;
@@ -28,10 +30,10 @@
   'gate-ended',
 ]);
 
-describe('losses in the logs of real gates', () => {
-  it('says of no answered request that it was not', async () => {
-    // Guards against log fields that the gates rename: real gates, killed and
-    // restarted, compared with their callers.
+describe('nutmeggauge losses on the logs of a soak', () => {
+  it('reports no request as refused or cut whose caller received a complete answer', async () => {
+    // Guards against log fields that gates rename: compares the logs of real
+    // gates, which are killed and restarted, with the records of their callers.
     const runDir = mkdtempSync(join(tmpdir(), 'losses-soak-'));
     try {
       const soakArgs = ['soak', '--seed', '1', '--no-timing'];
@@ -59,8 +61,8 @@
         ({requestId, cause}) =>
           answeredIds.has(requestId ?? '') && UNANSWERED_CAUSES.has(cause),
       );
-      // A gate that is killed after its answer and before its line is read
-      // leaves that request open.
+      // A gate that is killed after it sent an answer, but before its log line
+      // was read, leaves a request without an end.
       expect(misjudged.filter(({cause}) => cause !== 'gate-ended')).toEqual([]);
       const {kinds, forecasts, worth} = summarizeLosses(logs, requests);
       expect(kinds.length > 0 && forecasts.length > 0).toEqual(true);
--- a/packages/nutmeggauge/src/losses/summaries.test.ts
+++ b/packages/nutmeggauge/src/losses/summaries.test.ts
@@ -19,7 +19,10 @@
   return summarizeLosses(logs, judgeRequests(logs, OBJECTIVES));
 }
 
-/** A stream that arrived at `ms`, with its first token after `ttftMs`. */
+/**
+ * Builds the lines of a stream that arrives at `ms` and has its first token
+ * after `ttftMs`.
+ */
 function buildStream(
   ms: number,
   id: string,
@@ -33,8 +36,8 @@
   ];
 }
 
-describe('summaries of losses', () => {
-  it('sums worth by kind and cause, the dearest first', () => {
+describe('summarizeLosses', () => {
+  it('sums lost worth by kind and cause, largest loss first', () => {
     const {kinds, worth, lost} = summarizeLog([
       ...buildStream(0, 'a', 100),
       ...buildStream(10, 'b', 600),
@@ -63,8 +66,8 @@
     expect([worth, lost]).toEqual([23, 18.625]);
   });
 
-  it('gives the errors of forecasts by size and by age', () => {
-    // Forecasts made with old facts have larger errors.
+  it('summarizes forecast errors by prompt size and by age of the fleet state', () => {
+    // Forecasts from an old copy of the fleet state have larger errors.
     const {forecasts} = summarizeLog([
       ...buildStream(0, 'a', 130),
       ...buildStream(10, 'b', 90),
@@ -84,7 +87,7 @@
     ]);
   });
 
-  it('orders windows by what was lost in them', () => {
+  it('lists time windows with a loss, largest loss first', () => {
     const {windows} = summarizeLog([
       ...buildStream(100, 'a', 600),
       ...buildStream(4100, 'b', 600),
@@ -98,7 +101,7 @@
     expect(windows[0].mainCause).toEqual('late-mispredicted');
   });
 
-  it('orders engines by late answers, and counts those who helped', () => {
+  it('orders engines by late answers, and counts late answers that helpers took part in', () => {
     const {engines} = summarizeLog([
       ...buildStream(0, 'a', 100),
       ...buildStream(
@@ -122,9 +125,10 @@
     expect(engines[2].helpedLate).toEqual(1);
   });
 
-  it('prices the time without a gate by what it was sent before', () => {
-    // Killed after a second with a worth of 3 and back 500 ms later; then
-    // drained, a failed start, and back after another 1,000 ms.
+  it('estimates the worth missed in a gap from the average load of the gate', () => {
+    // The gate is killed after a second in which it received a worth of 3, and
+    // starts again 500 ms later. Then it drains, fails to start once, and
+    // starts 1,000 ms after the drain.
     const {gaps, estimatedNoGate} = summarizeLog([
       buildEnded(400, 'a', {ms: 100}),
       buildEnded(1000, 'b', {ms: 100}),
@@ -139,12 +143,12 @@
       [1000, 500, false],
       [2500, 1000, true],
     ]);
-    // A worth of 3 in the 2,000 ms that it served.
+    // The gate received a worth of 3 in the 2,000 ms in which it logged.
     expect(gaps[0].estimatedWorth).toEqual(0.75);
     expect(estimatedNoGate).toEqual(2.25);
   });
 
-  it('takes no time without a gate from a clock set back', () => {
+  it('reports a gap of 0 ms when the clock was set back between two incarnations', () => {
     const {gaps} = summarizeLog([
       buildLine(60_000, 'config_applied'),
       buildLine(10_000, 'gate_started'),
@@ -152,10 +156,10 @@
     expect(gaps.map(({ms}) => ms)).toEqual([0]);
   });
 
-  it('says how far the log can be trusted', () => {
+  it('counts dropped lines, open requests and missing forecasts, and lists routes without an objective', () => {
     const {coverage} = summarizeLog([
       buildLine(5, 'log_lines_dropped', {lines: 7}),
-      // Its placement was among the lines that were dropped.
+      // The placement of this request is among the dropped lines.
       buildEnded(900, 'a', {route: 'other'}),
       buildPlaced(950, 'b'),
     ]);
--- a/packages/nutmeggauge/src/losses/tables.ts
+++ b/packages/nutmeggauge/src/losses/tables.ts
@@ -151,7 +151,7 @@
   const {routesWithoutObjective: routes} = coverage;
   return [
     `${coverage.gates} gates, ${coverage.requests} requests in ${coverage.files.length} files`,
-    `worth lost: ${formatWorth(lost)} of ${formatWorth(worth)}; worth missed in gate gaps (estimate): ${formatWorth(estimatedNoGate)}`,
+    `lost ${formatWorth(lost)} of ${formatWorth(worth)} in worth; missed in gate gaps (estimate): ${formatWorth(estimatedNoGate)}`,
     ...listCounts(coverage),
     ...Object.entries(coverage.clockSteps).map(
       ([proc, steps]) => `the clock of ${proc} was set back ${steps} times`,
--- a/packages/nutmeggauge/src/timeline/explain.test.ts
+++ b/packages/nutmeggauge/src/timeline/explain.test.ts
@@ -6,7 +6,10 @@
 import {explainRequest} from './explain.js';
 import {mergeTimeline} from './merge.js';
 
-/** Writes lines as a collector does and reads them back. */
+/**
+ * Writes lines to a log file with the prefix of a log collector, and reads them
+ * back merged.
+ */
 function mergeLines(lines: readonly object[]) {
   const file = join(mkdtempSync(join(tmpdir(), 'timeline-')), 'all.log');
   const text = lines.map(line => `  12.0 front-1 ${JSON.stringify(line)}`);
@@ -14,9 +17,10 @@
   return mergeTimeline([file]);
 }
 
-describe('explain', () => {
-  it('shows why a request failed, and nothing of others', () => {
-    // Guards against explaining a failure by events of another gate.
+describe('explainRequest', () => {
+  it('returns the lines of a request and those about its targets at the same gate, and no others', () => {
+    // Guards against explaining a failed request by events of another gate or
+    // target.
     const events = mergeLines([
       {t: 1000, proc: 'g1', event: 'target_changed', id: 'i-1'},
       {t: 2000, proc: 'g2', event: 'store_lost'},
@@ -47,7 +51,7 @@
     expect(shown).toEqual(['target_changed', 'stream_placed', 'request_ended']);
   });
 
-  it('shows nothing of a request that no process has seen', () => {
+  it('returns no lines for a request id that no line has', () => {
     expect(explainRequest(mergeLines([]), 'q')).toEqual([]);
   });
 });
