--- a/packages/nutmeggauge/src/losses/gate-incarnations.test.ts
+++ b/packages/nutmeggauge/src/losses/gate-incarnations.test.ts
@@ -23,7 +23,7 @@
   }));
 }
 
-describe('readGateLogs', () => {
+describe('reading gate logs', () => {
   it('ignores and counts truncated lines and lines of other programs', () => {
     // Guards against counting lines of other programs, or truncated ones, as
     // lines of a gate.
@@ -54,15 +54,15 @@
   it('attributes program_starting to the gate on the host that the collector prefix names', () => {
     // Guards against attributing the first line of a process to the gate of
     // another host.
-    const prefixWithHost = (host: string, line: object) =>
+    const formatWithHost = (host: string, line: object) =>
       `  12.3456 ${host} ${JSON.stringify(line)}`;
     const startedG2 = {...GATE_STARTED_LINE, proc: 'g2'};
     const logs = readLog([
-      prefixWithHost('h1', GATE_STARTED_LINE),
-      prefixWithHost('h2', startedG2),
-      prefixWithHost('h1', PROGRAM_STARTING_LINE),
-      prefixWithHost('h2', {...startedG2, t: T0 + 10, event: 'config_applied'}),
-      prefixWithHost('h1', {...GATE_STARTED_LINE, t: T0 + 900}),
+      formatWithHost('h1', GATE_STARTED_LINE),
+      formatWithHost('h2', startedG2),
+      formatWithHost('h1', PROGRAM_STARTING_LINE),
+      formatWithHost('h2', {...startedG2, t: T0 + 10, event: 'config_applied'}),
+      formatWithHost('h1', {...GATE_STARTED_LINE, t: T0 + 900}),
     ]);
     expect(describeIncarnations(logs)).toEqual([
       {proc: 'g1', events: ['gate_started'], from: 0, hasSuccessor: true},
--- a/packages/nutmeggauge/src/losses/gate-incarnations.ts
+++ b/packages/nutmeggauge/src/losses/gate-incarnations.ts
@@ -201,12 +201,12 @@
       `${files.join(', ')}: no line of a gate's decision log`,
     );
   const incarnations = buildIncarnations(lines, gates);
-  const foreignEvents = lines.filter(line => isForeign(line, gates)).length;
+  const foreignEventCount = lines.filter(line => isForeign(line, gates)).length;
   return {
     files,
     incarnations,
     malformedLines,
-    foreignLines: foreignLines + foreignEvents,
+    foreignLines: foreignLines + foreignEventCount,
     repeatedLines,
     droppedLines: countDropped(incarnations),
     clockSteps: countClockSteps(incarnations),
--- a/packages/nutmeggauge/src/losses/judge-request.test.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.test.ts
@@ -29,7 +29,7 @@
   return requests[0];
 }
 
-describe('judgeRequests', () => {
+describe('judging requests', () => {
   it('tells a late answer that was predicted in time from one that was predicted late', () => {
     // Guards against blaming the prediction for the time for which the
     // placement of a prompt was deferred.
@@ -104,14 +104,14 @@
 
   it('judges a call by the time to its complete answer', () => {
     const call = {route: 'orders', kind: 'unsafe', tokens: undefined};
-    const noTokens = {ttftMs: undefined, maxItlMs: undefined};
+    const noTokenTimings = {ttftMs: undefined, maxItlMs: undefined};
     const late = judgeSingle([
-      buildEnded(900, 'q', {...call, ...noTokens, ms: 201}),
+      buildEnded(900, 'q', {...call, ...noTokenTimings, ms: 201}),
     ]);
     expect(late.cause).toEqual('late-unpredicted');
     expect(late.size).toEqual('-');
     const inTime = judgeSingle([
-      buildEnded(900, 'q', {...call, ...noTokens, ms: 200}),
+      buildEnded(900, 'q', {...call, ...noTokenTimings, ms: 200}),
     ]);
     expect(inTime.cause).toEqual(undefined);
   });
@@ -158,7 +158,7 @@
     ]);
   });
 
-  it('leaves a request open when its gate ran on for longer than the longest request', () => {
+  it('leaves a request open when its gate kept logging for longer than any request lasts', () => {
     // Guards against counting a request as lost when only the line of its end
     // was dropped from the log.
     const requests = judgeLog([
--- a/packages/nutmeggauge/src/losses/judge-request.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.ts
@@ -53,8 +53,8 @@
   readonly cause: Cause | undefined;
   readonly lost: number;
   /**
-   * The end of the request is not in the log, and its gate process is not known
-   * to have ended before.
+   * The end of the request is not in the logs, and the request was not lost
+   * with its gate process.
    */
   readonly isOpen: boolean;
   /** The route of the request has a latency objective. */
@@ -75,8 +75,8 @@
   ttftMs: number,
 ): PlacementRecord | undefined {
   const firstTokenAt = attempt.arrivedAt + ttftMs;
-  // If the clock was set back or forward in between, no placement lies in this
-  // range, and there is no forecast.
+  // After a clock step during the request, the placement is outside this range,
+  // and there is no forecast.
   return attempt.placements.findLast(
     ({t}) =>
       t >= attempt.arrivedAt - TIMESTAMP_TOLERANCE_MS && t <= firstTokenAt,
@@ -131,8 +131,8 @@
 }
 
 /**
- * Finds the first client attempt with a value and returns that value: attempts
- * refused before routing lack most values.
+ * Returns the first value that a client attempt has: attempts refused before
+ * routing lack most values.
  */
 function findAttemptValue<T>(
   attempts: readonly ClientAttempt[],
--- a/packages/nutmeggauge/src/losses/losses.test.ts
+++ b/packages/nutmeggauge/src/losses/losses.test.ts
@@ -66,7 +66,7 @@
     expect(page).toInclude('<td>7.5</td>');
   });
 
-  it('plots the largest late prompt and selects the spans of its engines', () => {
+  it('plots the largest late prompt and marks the spans of its engines as selected', () => {
     // Guards against plotting the largest prompt although its answer was in
     // time.
     const logs = readGateLogs([writeLog(LOG_LINES)]);
--- a/packages/nutmeggauge/src/losses/soak-logs.test.ts
+++ b/packages/nutmeggauge/src/losses/soak-logs.test.ts
@@ -61,8 +61,8 @@
         ({requestId, cause}) =>
           answeredIds.has(requestId ?? '') && UNANSWERED_CAUSES.has(cause),
       );
-      // A gate that is killed after it sent an answer, but before its log line
-      // was read, leaves a request without an end.
+      // A gate that is killed after it sent an answer, but before the log line
+      // about it was collected, leaves a request without an end.
       expect(misjudged.filter(({cause}) => cause !== 'gate-ended')).toEqual([]);
       const {kinds, forecasts, worth} = summarizeLosses(logs, requests);
       expect(kinds.length > 0 && forecasts.length > 0).toEqual(true);
--- a/packages/nutmeggauge/src/losses/summaries.test.ts
+++ b/packages/nutmeggauge/src/losses/summaries.test.ts
@@ -36,7 +36,7 @@
   ];
 }
 
-describe('summarizeLosses', () => {
+describe('loss summaries', () => {
   it('sums lost worth by kind and cause, largest loss first', () => {
     const {kinds, worth, lost} = summarizeLog([
       ...buildStream(0, 'a', 100),
@@ -101,7 +101,7 @@
     expect(windows[0].mainCause).toEqual('late-mispredicted');
   });
 
-  it('orders engines by late answers, and counts late answers that helpers took part in', () => {
+  it('orders engines by late answers, and counts the late answers that an engine helped with', () => {
     const {engines} = summarizeLog([
       ...buildStream(0, 'a', 100),
       ...buildStream(
--- a/packages/nutmeggauge/src/losses/summarize-losses.ts
+++ b/packages/nutmeggauge/src/losses/summarize-losses.ts
@@ -15,7 +15,9 @@
 import type {KindLosses} from './summarize-kinds.js';
 import type {LossWindow} from './summarize-windows.js';
 
-/** Files, requests and known omissions of the logs. */
+/**
+ * Extent of the logs, with counts of what is missing from them or was ignored.
+ */
 export interface LogCoverage {
   readonly files: readonly string[];
   readonly gates: number;
@@ -75,7 +77,7 @@
   requests: readonly JudgedRequest[],
 ): LogCoverage {
   const {incarnations, files, malformedLines, foreignLines} = logs;
-  const unforecast = requests.filter(
+  const missingForecast = requests.filter(
     ({attempt, forecast}) =>
       attempt.end?.ttftMs !== undefined && forecast === undefined,
   );
@@ -87,7 +89,7 @@
     gates: new Set(incarnations.map(({proc}) => proc)).size,
     requests: requests.length,
     openRequests: requests.filter(({isOpen}) => isOpen).length,
-    withoutForecast: unforecast.length,
+    withoutForecast: missingForecast.length,
     malformedLines,
     foreignLines,
     repeatedLines: logs.repeatedLines,
--- a/packages/nutmeggauge/src/timeline/explain.test.ts
+++ b/packages/nutmeggauge/src/timeline/explain.test.ts
@@ -17,7 +17,7 @@
   return mergeTimeline([file]);
 }
 
-describe('explainRequest', () => {
+describe('explain', () => {
   it('returns the lines of a request and those about its targets at the same gate, and no others', () => {
     // Guards against explaining a failed request by events of another gate or
     // target.
--- a/packages/nutmeggauge/src/timeline/explain.ts
+++ b/packages/nutmeggauge/src/timeline/explain.ts
@@ -1,6 +1,6 @@
 /**
  * Implements `nutmeggauge explain`: picks the log lines of one request, with
- * the changes of its targets and of the configuration at that time.
+ * the state changes of its targets and processes around that time.
  */
 import type {TimelineEvent} from './merge.js';
 
