--- a/packages/nutmeggauge/src/losses/client-attempts.ts
+++ b/packages/nutmeggauge/src/losses/client-attempts.ts
@@ -1,19 +1,19 @@
 /**
- * Client attempts, reconstructed from the log lines of gates: one for each
- * arrival of a request at a gate.
+ * Reconstructs client attempts from the log lines of gates. A client attempt is
+ * one arrival of a request at one gate.
  */
-import type {GateLife} from './gate-lives.js';
+import type {GateIncarnation} from './gate-incarnations.js';
 import type {TimelineEvent} from '../timeline/merge.js';
 
-/** The engines of a placement. */
+/** Engines that a gate chose for a stream, with its prediction. */
 export interface PlacementRecord {
-  /** Wall clock of its gate, in ms. */
+  /** Wall-clock time of the gate that placed the stream, in ms. */
   readonly t: number;
   readonly decoder: string;
   readonly helpers: readonly string[];
   /** Predicted time from the placement to the first token, in ms. */
   readonly predictedTtftMs: number;
-  /** Age of the gate's facts, in ms. */
+  /** Age of the gate's copy of the fleet state at the placement, in ms. */
   readonly factsAgeMs: number;
   readonly tokens: number | undefined;
 }
@@ -21,10 +21,13 @@
 /** How a client attempt ended. */
 export interface AttemptEnd {
   readonly t: number;
-  /** Outcome as logged, such as `answered` or `too_late`. */
+  /**
+   * Outcome as logged, such as `answered` or `too_late`; for a request refused
+   * before routing, the reason.
+   */
   readonly outcome: string;
-  /** Refused before routing. */
-  readonly isEarly: boolean;
+  /** The gate refused the request before it chose a route. */
+  readonly isRefusedBeforeRouting: boolean;
   readonly status: number | undefined;
   readonly route: string | undefined;
   readonly kind: string | undefined;
@@ -34,7 +37,7 @@
   readonly ttftMs: number | undefined;
   /** Largest inter-token latency, in ms. */
   readonly maxItlMs: number | undefined;
-  /** Time to the complete answer, in ms. */
+  /** Time from the arrival to the end of the client attempt, in ms. */
   readonly ms: number;
 }
 
@@ -42,24 +45,30 @@
 export interface ClientAttempt {
   readonly proc: string;
   readonly requestId: string | undefined;
-  /** Wall clock of the gate, in ms. */
+  /** Wall-clock time of the gate at the arrival, in ms. */
   readonly arrivedAt: number;
   readonly placements: readonly PlacementRecord[];
-  /** Times at which it was deferred. */
+  /** Timestamps at which the gate deferred the placement, in ms. */
   readonly deferredAt: readonly number[];
-  /** Targets of failed attempts, and when. */
+  /** Failed attempts at targets, each with its timestamp in ms. */
   readonly failures: ReadonlyArray<{
     readonly t: number;
     readonly target: string;
   }>;
   readonly end: AttemptEnd | undefined;
-  /** Last line of the gate's life, for a client attempt without an end. */
+  /**
+   * Timestamp of the gate incarnation's last line, in ms; used for a client
+   * attempt without an end.
+   */
   readonly lastSeenAt: number;
-  /** The gate ended, or fell silent for good, before the client attempt did. */
-  readonly isGateGone: boolean;
+  /**
+   * The gate process ended, or stopped logging for good, before the client
+   * attempt ended.
+   */
+  readonly isLostWithGate: boolean;
 }
 
-/** Events of a client attempt. */
+/** Log events that belong to a client attempt. */
 const ATTEMPT_EVENTS: ReadonlySet<string> = new Set([
   'stream_placed',
   'stream_deferred',
@@ -71,42 +80,45 @@
 ]);
 
 /**
- * Longest credible duration, in ms: larger ones lead to dates that cannot be
- * printed.
+ * Longest accepted duration, in ms: larger values lead to dates that cannot be
+ * formatted.
  */
 const MAX_DURATION_MS = 86_400_000;
 
-/** Largest HTTP status (RFC 9110, 15). */
+/** Largest HTTP status code (RFC 9110, 15). */
 const MAX_STATUS = 599;
 
-/** Most credible tokens: far above the longest prompt. */
+/** Largest accepted number of tokens, far above the longest prompt. */
 const MAX_TOKENS = 1e9;
 
-/** Reads a figure from 0 to `most`; nothing if it is invalid. */
-function readFigure(
+/**
+ * Reads a number from 0 to `most` from a field; returns undefined if the value
+ * is invalid.
+ */
+function readNumber(
   line: TimelineEvent,
   field: string,
   most: number,
 ): number | undefined {
   const value = line[field];
-  const isSound = typeof value === 'number' && value >= 0 && value <= most;
-  return isSound ? value : undefined;
+  const isValid = typeof value === 'number' && value >= 0 && value <= most;
+  return isValid ? value : undefined;
 }
 
 function readMs(line: TimelineEvent, field: string): number | undefined {
-  return readFigure(line, field, MAX_DURATION_MS);
+  return readNumber(line, field, MAX_DURATION_MS);
 }
 
 function readTokens(line: TimelineEvent): number | undefined {
-  return readFigure(line, 'tokens', MAX_TOKENS);
+  return readNumber(line, 'tokens', MAX_TOKENS);
 }
 
-function readText(line: TimelineEvent, field: string): string | undefined {
+function readString(line: TimelineEvent, field: string): string | undefined {
   const value = line[field];
   return typeof value === 'string' ? value : undefined;
 }
 
-function readTexts(line: TimelineEvent, field: string): readonly string[] {
+function readStrings(line: TimelineEvent, field: string): readonly string[] {
   const value = line[field];
   return Array.isArray(value)
     ? value.filter((item): item is string => typeof item === 'string')
@@ -114,14 +126,14 @@
 }
 
 function toPlacements(line: TimelineEvent): readonly PlacementRecord[] {
-  const decoder = readText(line, 'decoder');
+  const decoder = readString(line, 'decoder');
   const predictedTtftMs = readMs(line, 'predictedTtftMs');
   if (decoder === undefined || predictedTtftMs === undefined) return [];
   return [
     {
       t: line.t,
       decoder,
-      helpers: readTexts(line, 'helpers'),
+      helpers: readStrings(line, 'helpers'),
       predictedTtftMs,
       factsAgeMs: readMs(line, 'factsAgeMs') ?? 0,
       tokens: readTokens(line),
@@ -130,15 +142,17 @@
 }
 
 function toEnd(line: TimelineEvent): AttemptEnd {
-  const isEarly = line.event === 'request_refused';
+  const isRefusedBeforeRouting = line.event === 'request_refused';
   return {
     t: line.t,
-    isEarly,
-    outcome: readText(line, isEarly ? 'reason' : 'outcome') ?? 'unknown',
-    status: readFigure(line, 'status', MAX_STATUS),
-    route: readText(line, 'route'),
-    kind: readText(line, 'kind'),
-    target: readText(line, 'target'),
+    isRefusedBeforeRouting,
+    outcome:
+      readString(line, isRefusedBeforeRouting ? 'reason' : 'outcome') ??
+      'unknown',
+    status: readNumber(line, 'status', MAX_STATUS),
+    route: readString(line, 'route'),
+    kind: readString(line, 'kind'),
+    target: readString(line, 'target'),
     tokens: readTokens(line),
     ttftMs: readMs(line, 'ttftMs'),
     maxItlMs: readMs(line, 'maxItlMs'),
@@ -147,7 +161,7 @@
 }
 
 function buildAttempt(
-  life: GateLife,
+  gateIncarnation: GateIncarnation,
   lines: readonly TimelineEvent[],
   endLine: TimelineEvent | undefined,
   span: LogSpan,
@@ -155,86 +169,97 @@
   const end = endLine === undefined ? undefined : toEnd(endLine);
   const pick = (event: string) => lines.filter(line => line.event === event);
   return {
-    proc: life.proc,
-    requestId: readText(lines[0], 'requestId'),
+    proc: gateIncarnation.proc,
+    requestId: readString(lines[0], 'requestId'),
     arrivedAt: end === undefined ? lines[0].t : end.t - end.ms,
     placements: pick('stream_placed').flatMap(toPlacements),
     deferredAt: pick('stream_deferred').map(({t}) => t),
     failures: pick('attempt_failed').map(line => ({
       t: line.t,
-      target: readText(line, 'target') ?? '',
+      target: readString(line, 'target') ?? '',
     })),
     end,
-    lastSeenAt: readLastStamp(life.lines),
-    isGateGone: end === undefined && isGateGone(life, lines, span),
+    lastSeenAt: readLastTimestamp(gateIncarnation.lines),
+    isLostWithGate:
+      end === undefined && isLostWithGate(gateIncarnation, lines, span),
   };
 }
 
-function readLastStamp(lines: readonly TimelineEvent[]): number {
+function readLastTimestamp(lines: readonly TimelineEvent[]): number {
   return lines[lines.length - 1].t;
 }
 
 /**
- * Assumed longest duration of a request, in ms, unless the log shows a longer
- * one.
+ * Assumed longest duration of a request, in ms, unless the logs contain a
+ * longer one.
  */
-const USUAL_LIMIT_MS = 10_000;
+const DEFAULT_LONGEST_REQUEST_MS = 10_000;
 
-/** Range of all logs. */
+/** Time span of the logs, and longest request in them. */
 interface LogSpan {
   /** Last timestamp of any gate, in ms. */
-  readonly endsAt: number;
+  readonly lastTimestamp: number;
   /** Longest duration of a request, in ms. */
-  readonly longestMs: number;
+  readonly longestRequestMs: number;
 }
 
-function readSpan(lives: readonly GateLife[]): LogSpan {
-  let endsAt = 0;
-  let longestMs = USUAL_LIMIT_MS;
-  for (const line of lives.flatMap(life => life.lines)) {
-    endsAt = Math.max(endsAt, line.t);
+function readLogSpan(incarnations: readonly GateIncarnation[]): LogSpan {
+  let lastTimestamp = 0;
+  let longestRequestMs = DEFAULT_LONGEST_REQUEST_MS;
+  for (const line of incarnations.flatMap(
+    gateIncarnation => gateIncarnation.lines,
+  )) {
+    lastTimestamp = Math.max(lastTimestamp, line.t);
     if (line.event === 'request_ended')
-      longestMs = Math.max(longestMs, readMs(line, 'ms') ?? 0);
+      longestRequestMs = Math.max(longestRequestMs, readMs(line, 'ms') ?? 0);
   }
-  return {endsAt, longestMs};
+  return {lastTimestamp, longestRequestMs};
 }
 
 /**
- * True if a client attempt without an end was lost with its gate. If its last
- * line is older than any request lasts, its end was dropped from the log
+ * Returns whether a client attempt without an end was lost because its gate
+ * process ended. If the gate logged for longer than the longest request after
+ * the attempt's last line, the line of its end was dropped from the log
  * instead.
  */
-function isGateGone(
-  life: GateLife,
+function isLostWithGate(
+  gateIncarnation: GateIncarnation,
   lines: readonly TimelineEvent[],
-  {endsAt, longestMs}: LogSpan,
+  {lastTimestamp, longestRequestMs}: LogSpan,
 ): boolean {
-  const lastAt = readLastStamp(life.lines);
-  if (lastAt - readLastStamp(lines) > longestMs) return false;
-  return life.isOver || endsAt - lastAt > longestMs;
+  const lastAt = readLastTimestamp(gateIncarnation.lines);
+  if (lastAt - readLastTimestamp(lines) > longestRequestMs) return false;
+  return (
+    gateIncarnation.hasSuccessor || lastTimestamp - lastAt > longestRequestMs
+  );
 }
 
-function listAttemptsOfLife(
-  life: GateLife,
+function listAttemptsOfIncarnation(
+  gateIncarnation: GateIncarnation,
   span: LogSpan,
 ): readonly ClientAttempt[] {
   const open = new Map<string, TimelineEvent[]>();
   const attempts: ClientAttempt[] = [];
-  for (const line of life.lines) {
+  for (const line of gateIncarnation.lines) {
     if (!ATTEMPT_EVENTS.has(line.event)) continue;
-    const id = readText(line, 'requestId');
+    const id = readString(line, 'requestId');
     const lines = [...(open.get(id ?? '') ?? []), line];
     const isEnd =
       line.event === 'request_ended' || line.event === 'request_refused';
     if (isEnd) {
       open.delete(id ?? '');
       attempts.push(
-        buildAttempt(life, id === undefined ? [line] : lines, line, span),
+        buildAttempt(
+          gateIncarnation,
+          id === undefined ? [line] : lines,
+          line,
+          span,
+        ),
       );
     } else if (id !== undefined) open.set(id, lines);
   }
   for (const lines of open.values())
-    attempts.push(buildAttempt(life, lines, undefined, span));
+    attempts.push(buildAttempt(gateIncarnation, lines, undefined, span));
   return attempts;
 }
 
@@ -242,16 +267,18 @@
  * Lists the client attempts of all requests.
  *
  * @example
- * listClientAttempts(readGateLogs(['all.log']).lives).length;
+ * listClientAttempts(readGateLogs(['all.log']).incarnations).length;
  */
 export function listClientAttempts(
-  lives: readonly GateLife[],
+  incarnations: readonly GateIncarnation[],
 ): readonly ClientAttempt[] {
-  const span = readSpan(lives);
-  return lives.flatMap(life => listAttemptsOfLife(life, span));
+  const span = readLogSpan(incarnations);
+  return incarnations.flatMap(gateIncarnation =>
+    listAttemptsOfIncarnation(gateIncarnation, span),
+  );
 }
 
-/** A request with all its client attempts, by time of arrival. */
+/** A request with all its client attempts, in order of arrival. */
 export interface RequestRecord {
   readonly requestId: string | undefined;
   readonly attempts: readonly ClientAttempt[];
@@ -259,7 +286,7 @@
   readonly attempt: ClientAttempt;
 }
 
-/** The answered attempt, or else the last one. */
+/** Picks the answered client attempt, or else the last one. */
 function pickAttempt(attempts: readonly ClientAttempt[]): ClientAttempt {
   const answered = attempts.find(({end}) => end?.outcome === 'answered');
   return answered ?? attempts[attempts.length - 1];
@@ -269,22 +296,22 @@
  * Groups client attempts by request.
  *
  * @example
- * mergeClientAttempts(listClientAttempts(lives)).filter(({attempts}) => attempts.length > 1);
+ * mergeClientAttempts(listClientAttempts(incarnations)).filter(({attempts}) => attempts.length > 1);
  */
 export function mergeClientAttempts(
   attempts: readonly ClientAttempt[],
 ): readonly RequestRecord[] {
   const byId = new Map<string, ClientAttempt[]>();
-  const nameless: RequestRecord[] = [];
+  const withoutId: RequestRecord[] = [];
   for (const attempt of attempts) {
     const {requestId} = attempt;
     if (requestId === undefined)
-      nameless.push({requestId, attempts: [attempt], attempt});
+      withoutId.push({requestId, attempts: [attempt], attempt});
     else byId.set(requestId, [...(byId.get(requestId) ?? []), attempt]);
   }
-  const named = [...byId].map(([requestId, own]) => {
-    const sorted = own.sort((a, b) => a.arrivedAt - b.arrivedAt);
+  const withId = [...byId].map(([requestId, ownAttempts]) => {
+    const sorted = ownAttempts.sort((a, b) => a.arrivedAt - b.arrivedAt);
     return {requestId, attempts: sorted, attempt: pickAttempt(sorted)};
   });
-  return [...named, ...nameless];
+  return [...withId, ...withoutId];
 }
--- a/packages/nutmeggauge/src/losses/engine-activity.ts
+++ b/packages/nutmeggauge/src/losses/engine-activity.ts
@@ -1,36 +1,41 @@
-/** Activity of engines around one long prompt: prefill and decode spans. */
+/**
+ * Reconstructs the prefill and decode spans of engines while one selected
+ * prompt was served.
+ */
 import {isLate} from './worth.js';
 import type {JudgedRequest} from './judge-request.js';
 import type {ClientAttempt} from './client-attempts.js';
 
-/**
- * A time in which an engine has one prompt to prefill or one answer to decode.
- */
+/** Time span in which an engine prefills one prompt or decodes one answer. */
 export interface ActivitySpan {
   readonly engine: string;
-  readonly work: 'prefill' | 'decode';
-  /** Wall clock of the gate, in ms. */
+  readonly phase: 'prefill' | 'decode';
+  /** Start of the span as wall-clock time of the gate, in ms. */
   readonly from: number;
   readonly to: number;
-  /** Belongs to the selected prompt. */
-  readonly isMarked: boolean;
+  /** The span belongs to the selected prompt. */
+  readonly isSelected: boolean;
 }
 
-/** Engines around one prompt. */
+/**
+ * Engine activity during one selected prompt, including the other prompts
+ * served at the same time.
+ */
 export interface EngineActivity {
   readonly request: JudgedRequest;
   readonly from: number;
   readonly to: number;
-  /** The selected prompt's engines first. */
+  /** Names of the engines, those of the selected prompt first. */
   readonly engines: readonly string[];
   readonly spans: readonly ActivitySpan[];
 }
 
-/** Time shown before and after the prompt, in ms. */
-const AROUND_MS = 1000;
+/** Time shown before and after the selected prompt, in ms. */
+const PLOT_MARGIN_MS = 1000;
 
 /**
- * Picks the prompt to show: the largest late one, or else the largest.
+ * Picks the prompt to plot: the largest one with a late answer, or else the
+ * largest one.
  *
  * @example
  * pickPrompt(requests)?.requestId;
@@ -44,43 +49,49 @@
   return [...candidates].sort((a, b) => (b.tokens ?? 0) - (a.tokens ?? 0))[0];
 }
 
-/** End of a client attempt, as far as the log shows. */
-function readEndAt({end, lastSeenAt}: ClientAttempt): number {
+/**
+ * Resolves the end of a client attempt; if the log lacks it, returns the last
+ * timestamp of the gate incarnation.
+ */
+function resolveEndAt({end, lastSeenAt}: ClientAttempt): number {
   return end?.t ?? lastSeenAt;
 }
 
-/** Spans of each placement of a client attempt. */
+/** Lists the spans of all placements of a client attempt. */
 function listSpans(
   attempt: ClientAttempt,
-  isMarked: boolean,
+  isSelected: boolean,
 ): readonly ActivitySpan[] {
   const {placements, failures, arrivedAt, end} = attempt;
-  const endAt = readEndAt(attempt);
-  const firstAt =
+  const endAt = resolveEndAt(attempt);
+  const firstTokenAt =
     end?.ttftMs === undefined ? undefined : arrivedAt + end.ttftMs;
   return placements.flatMap(({t, decoder, helpers}, i) => {
-    const next = placements.at(i + 1)?.t ?? endAt;
-    const failedAt = failures.find(failure => failure.t >= t)?.t ?? next;
-    const to = Math.min(next, failedAt);
-    const readTo = firstAt === undefined ? to : Math.min(to, firstAt);
+    const nextPlacementAt = placements.at(i + 1)?.t ?? endAt;
+    const failedAt =
+      failures.find(failure => failure.t >= t)?.t ?? nextPlacementAt;
+    const to = Math.min(nextPlacementAt, failedAt);
+    const prefillEndAt =
+      firstTokenAt === undefined ? to : Math.min(to, firstTokenAt);
     const prefill = [decoder, ...helpers].map(engine => ({
       engine,
-      work: 'prefill' as const,
+      phase: 'prefill' as const,
       from: t,
-      to: Math.max(t, readTo),
-      isMarked,
+      to: Math.max(t, prefillEndAt),
+      isSelected,
     }));
-    if (firstAt === undefined || to <= firstAt) return prefill;
-    const from = Math.max(t, firstAt);
+    if (firstTokenAt === undefined || to <= firstTokenAt) return prefill;
+    const from = Math.max(t, firstTokenAt);
     return [
       ...prefill,
-      {engine: decoder, work: 'decode' as const, from, to, isMarked},
+      {engine: decoder, phase: 'decode' as const, from, to, isSelected},
     ];
   });
 }
 
 /**
- * Lists what engines did around a prompt.
+ * Lists the spans of all engines around a selected prompt, with a margin before
+ * and after.
  *
  * @example
  * listActivity(requests, pickPrompt(requests)).engines;
@@ -89,13 +100,15 @@
   requests: readonly JudgedRequest[],
   request: JudgedRequest,
 ): EngineActivity {
-  const from = request.attempt.arrivedAt - AROUND_MS;
-  const to = readEndAt(request.attempt) + AROUND_MS;
+  const from = request.attempt.arrivedAt - PLOT_MARGIN_MS;
+  const to = resolveEndAt(request.attempt) + PLOT_MARGIN_MS;
   const spans = requests
     .flatMap(({attempt}) => listSpans(attempt, attempt === request.attempt))
     .filter(span => span.to >= from && span.from <= to);
-  const own = spans.filter(({isMarked}) => isMarked);
+  const selectedSpans = spans.filter(({isSelected}) => isSelected);
   const others = spans.map(({engine}) => engine).sort();
-  const engines = [...new Set([...own.map(({engine}) => engine), ...others])];
+  const engines = [
+    ...new Set([...selectedSpans.map(({engine}) => engine), ...others]),
+  ];
   return {request, from, to, engines, spans};
 }
--- a/packages/nutmeggauge/src/losses/gate-gaps.ts
+++ b/packages/nutmeggauge/src/losses/gate-gaps.ts
@@ -1,57 +1,64 @@
 /**
- * Times without a gate: from the last line of one life to the next
- * `gate_started`. What would have arrived is estimated from the gate's usual
- * load.
+ * Finds the gaps in which a gate did not run: from the last line of one
+ * incarnation to the next `gate_started`. The worth of the requests missed in a
+ * gap is estimated from the gate's average load.
  */
-import type {GateLife} from './gate-lives.js';
+import type {GateIncarnation} from './gate-incarnations.js';
 import type {JudgedRequest} from './judge-request.js';
 
-/** One time without a gate. */
+/** A gap between two incarnations of a gate. */
 export interface GateGap {
   readonly proc: string;
-  /** Wall clock of the gate, in ms. */
+  /** Start of the gap as wall-clock time of the gate, in ms. */
   readonly from: number;
   readonly to: number;
-  /** Length in ms; 0 if the clock was set back. */
+  /** Length of the gap, in ms; 0 if the clock was set back. */
   readonly ms: number;
-  /** The gate had drained, so callers had been sent elsewhere. */
+  /**
+   * The gate had finished its drain before the gap, so callers had been sent to
+   * other gates.
+   */
   readonly hasDrained: boolean;
-  /** Estimated worth of the requests that would have arrived. */
+  /** Estimated worth of the requests that would have arrived in the gap. */
   readonly estimatedWorth: number;
 }
 
-/** Worth of the requests that one gate receives in a ms. */
+/** Worth of the requests that each gate receives per ms, by process name. */
 export type WorthRates = ReadonlyMap<string, number>;
 
-/** Time for which a gate logged, in ms. */
-function sumServedMs(lives: readonly GateLife[]): number {
+/** Sums the time in which a gate logged, in ms. */
+function sumServedMs(incarnations: readonly GateIncarnation[]): number {
   let sum = 0;
-  for (const {lines} of lives)
+  for (const {lines} of incarnations)
     sum += Math.max(0, lines[lines.length - 1].t - lines[0].t);
   return sum;
 }
 
-function listProcs(lives: readonly GateLife[]): readonly string[] {
-  return [...new Set(lives.map(({proc}) => proc))];
+function listProcs(
+  incarnations: readonly GateIncarnation[],
+): readonly string[] {
+  return [...new Set(incarnations.map(({proc}) => proc))];
 }
 
 /**
- * Estimates the worth of the requests that each gate receives in a ms.
+ * Estimates the worth of the requests that each gate receives per ms.
  *
  * @example
- * estimateRates(lives, requests).get('gate-1');
+ * estimateRates(incarnations, requests).get('gate-1');
  */
 export function estimateRates(
-  lives: readonly GateLife[],
+  incarnations: readonly GateIncarnation[],
   requests: readonly JudgedRequest[],
 ): WorthRates {
-  const worths = new Map<string, number>();
+  const worthByProc = new Map<string, number>();
   for (const {attempt, worth} of requests)
-    worths.set(attempt.proc, (worths.get(attempt.proc) ?? 0) + worth);
+    worthByProc.set(attempt.proc, (worthByProc.get(attempt.proc) ?? 0) + worth);
   return new Map(
-    listProcs(lives).map(proc => {
-      const servedMs = sumServedMs(lives.filter(life => life.proc === proc));
-      const worth = worths.get(proc) ?? 0;
+    listProcs(incarnations).map(proc => {
+      const servedMs = sumServedMs(
+        incarnations.filter(gateIncarnation => gateIncarnation.proc === proc),
+      );
+      const worth = worthByProc.get(proc) ?? 0;
       return [proc, servedMs > 0 ? worth / servedMs : 0];
     }),
   );
@@ -61,37 +68,38 @@
  * Lists the gaps of all gates.
  *
  * @example
- * listGaps(lives, estimateRates(lives, requests));
+ * listGaps(incarnations, estimateRates(incarnations, requests));
  */
 export function listGaps(
-  lives: readonly GateLife[],
+  incarnations: readonly GateIncarnation[],
   rates: WorthRates,
 ): readonly GateGap[] {
-  return listProcs(lives).flatMap(proc =>
-    listGapsOf(
-      lives.filter(life => life.proc === proc),
+  return listProcs(incarnations).flatMap(proc =>
+    listGapsOfGate(
+      incarnations.filter(gateIncarnation => gateIncarnation.proc === proc),
       rates.get(proc) ?? 0,
     ),
   );
 }
 
-function listGapsOf(
-  lives: readonly GateLife[],
+function listGapsOfGate(
+  incarnations: readonly GateIncarnation[],
   rate: number,
 ): readonly GateGap[] {
   const gaps: GateGap[] = [];
-  let before: GateLife | undefined;
-  for (const life of lives) {
-    // After a failed start the gap continues.
-    if (before !== undefined && life.servesFrom === undefined) continue;
-    if (before !== undefined && life.servesFrom !== undefined)
-      gaps.push(buildGap(before, life.servesFrom, rate));
-    before = life;
+  let before: GateIncarnation | undefined;
+  for (const gateIncarnation of incarnations) {
+    // An incarnation that failed to start does not end the gap.
+    if (before !== undefined && gateIncarnation.servesFrom === undefined)
+      continue;
+    if (before !== undefined && gateIncarnation.servesFrom !== undefined)
+      gaps.push(buildGap(before, gateIncarnation.servesFrom, rate));
+    before = gateIncarnation;
   }
   return gaps;
 }
 
-function buildGap(before: GateLife, to: number, rate: number): GateGap {
+function buildGap(before: GateIncarnation, to: number, rate: number): GateGap {
   const {proc, hasDrained, lines} = before;
   const from = lines[lines.length - 1].t;
   const ms = Math.max(0, to - from);
--- a/packages/nutmeggauge/src/losses/judge-request.test.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.test.ts
@@ -7,7 +7,7 @@
   T0,
   writeLog,
 } from '../test/gate-lines.js';
-import {readGateLogs} from './gate-lives.js';
+import {readGateLogs} from './gate-incarnations.js';
 import {judgeRequests} from './summarize-losses.js';
 import type {LineFields} from '../test/gate-lines.js';
 
@@ -15,25 +15,25 @@
   routes: {chat: {ttftMs: 300, itlMs: 250}, orders: {ttftMs: 200}},
 };
 
-function judge(lines: readonly LineFields[]) {
+function judgeLog(lines: readonly LineFields[]) {
   const logs = readGateLogs([
     writeLog([buildLine(0, 'gate_started'), ...lines]),
   ]);
   return judgeRequests(logs, OBJECTIVES);
 }
 
-/** Cause of the only request of a log. */
-function judgeOne(lines: readonly LineFields[]) {
-  const requests = judge(lines);
+/** Judges a log with exactly one request. */
+function judgeSingle(lines: readonly LineFields[]) {
+  const requests = judgeLog(lines);
   expect(requests.length).toEqual(1);
   return requests[0];
 }
 
-describe('judging of requests', () => {
-  it('tells a misprediction from a late answer that was forecast', () => {
-    // Guards against blaming the prediction for the time that a prompt was
-    // deferred.
-    const mispredicted = judgeOne([
+describe('judging requests', () => {
+  it('tells a late answer that was predicted in time from one that was predicted late', () => {
+    // Guards against blaming the prediction for the time for which the
+    // placement of a prompt was deferred.
+    const mispredicted = judgeSingle([
       buildPlaced(10, 'q'),
       buildEnded(900, 'q', {ms: 900, ttftMs: 600}),
     ]);
@@ -43,17 +43,17 @@
       ttftMs: 600,
       factsAgeMs: 20,
     });
-    const forecast = judgeOne([
+    const predictedLate = judgeSingle([
       buildLine(5, 'stream_deferred', {requestId: 'q', predictedTtftMs: 80}),
       buildPlaced(250, 'q'),
       buildEnded(900, 'q', {ms: 900, ttftMs: 600}),
     ]);
-    expect(forecast.cause).toEqual('late-predicted');
+    expect(predictedLate.cause).toEqual('late-predicted');
   });
 
-  it('judges by the placement that produced the first token', () => {
-    // Guards against comparing with the prediction of a failed attempt.
-    const {cause, forecast} = judgeOne([
+  it('compares the time to first token with the prediction of the placement that produced it', () => {
+    // Guards against a comparison with the prediction of a failed attempt.
+    const {cause, forecast} = judgeSingle([
       buildPlaced(10, 'q'),
       buildLine(50, 'attempt_failed', {requestId: 'q', target: 'e1'}),
       buildPlaced(60, 'q', {decoder: 'e2', predictedTtftMs: 500}),
@@ -63,8 +63,8 @@
     expect(forecast?.predictedMs).toEqual(560);
   });
 
-  it('finds inter-token latency where the first token was in time', () => {
-    const {cause, lost, worth} = judgeOne([
+  it('judges a stream late by inter-token latency when its first token was in time', () => {
+    const {cause, lost, worth} = judgeSingle([
       buildPlaced(10, 'q'),
       buildEnded(900, 'q', {ms: 900, ttftMs: 300, maxItlMs: 251}),
     ]);
@@ -73,8 +73,8 @@
     expect(lost).toEqual(1.125);
   });
 
-  it('finds nothing at the objectives themselves', () => {
-    const {cause, lost} = judgeOne([
+  it('finds no loss when both latencies equal their objectives', () => {
+    const {cause, lost} = judgeSingle([
       buildPlaced(10, 'q'),
       buildEnded(900, 'q', {ms: 900, ttftMs: 300, maxItlMs: 250}),
     ]);
@@ -82,7 +82,7 @@
     expect(lost).toEqual(0);
   });
 
-  it('knows each end that is no answer', () => {
+  it('assigns a cause and a full loss to each outcome that is not a successful answer', () => {
     const ends = {
       too_late: 'refused',
       overloaded: 'refused',
@@ -94,46 +94,52 @@
       caller_left: 'caller-left',
     } as const;
     for (const [outcome, cause] of Object.entries(ends)) {
-      const judged = judgeOne([buildEnded(900, 'q', {outcome})]);
+      const judged = judgeSingle([buildEnded(900, 'q', {outcome})]);
       expect(judged.cause).toEqual(cause);
       expect(judged.lost).toEqual(judged.worth);
     }
-    const failed = judgeOne([buildEnded(900, 'q', {status: 500})]);
+    const failed = judgeSingle([buildEnded(900, 'q', {status: 500})]);
     expect(failed.cause).toEqual('cut');
   });
 
-  it('judges a call by its whole answer', () => {
+  it('judges a call by the time to its complete answer', () => {
     const call = {route: 'orders', kind: 'unsafe', tokens: undefined};
-    const rest = {ttftMs: undefined, maxItlMs: undefined};
-    const late = judgeOne([buildEnded(900, 'q', {...call, ...rest, ms: 201})]);
+    const noTokenTimings = {ttftMs: undefined, maxItlMs: undefined};
+    const late = judgeSingle([
+      buildEnded(900, 'q', {...call, ...noTokenTimings, ms: 201}),
+    ]);
     expect(late.cause).toEqual('late-unpredicted');
     expect(late.size).toEqual('-');
-    const good = judgeOne([buildEnded(900, 'q', {...call, ...rest, ms: 200})]);
-    expect(good.cause).toEqual(undefined);
+    const inTime = judgeSingle([
+      buildEnded(900, 'q', {...call, ...noTokenTimings, ms: 200}),
+    ]);
+    expect(inTime.cause).toEqual(undefined);
   });
 
-  it('counts a caller that came back once, by its answer', () => {
-    // Guards against counting a request twice that a draining gate sent
-    // elsewhere.
-    const judged = judgeOne([
+  it('judges a request retried at another gate once, by its answered or else its last attempt', () => {
+    // Guards against counting a request twice when a draining gate refuses it
+    // and the caller retries it at another gate.
+    const judged = judgeSingle([
       buildLine(5, 'request_refused', {requestId: 'q', reason: 'stopping'}),
       {...buildPlaced(20, 'q'), proc: 'g2'},
       {...buildEnded(510, 'q'), proc: 'g2'},
     ]);
     expect(judged.cause).toEqual(undefined);
     expect(judged.arrivedAt).toEqual(T0 + 5);
-    const refused = judgeOne([
+    const refused = judgeSingle([
       {...buildEnded(400, 'q', {outcome: 'overloaded'}), proc: 'g2'},
       buildLine(600, 'request_refused', {requestId: 'q', reason: 'stopping'}),
     ]);
     expect(refused.cause).toEqual('refused');
-    // The gate that refused it early did not know its kind.
+    // The attempt refused before routing has no route, so the other attempt
+    // supplies it.
     expect(refused.route).toEqual('chat');
   });
 
-  it('loses what a gate held when its process ended', () => {
-    // Guards against calling a request lost that is open at the end of the log.
-    const requests = judge([
+  it('assigns gate-ended to requests in progress when their gate process ended', () => {
+    // Guards against counting a request as lost that is still open at the end
+    // of the log.
+    const requests = judgeLog([
       buildPlaced(10, 'placed', {tokens: 90_000}),
       buildLine(20, 'stream_deferred', {requestId: 'kept'}),
       buildLine(900, 'gate_started'),
@@ -152,28 +158,39 @@
     ]);
   });
 
-  it('loses nothing with a gate that had ended it unsaid', () => {
-    // Guards against calling a request lost whose end was dropped from the log.
-    const requests = judge([
+  it('leaves a request open when its gate kept logging for longer than any request lasts', () => {
+    // Guards against counting a request as lost when only the line of its end
+    // was dropped from the log.
+    const requests = judgeLog([
       buildPlaced(10, 'unsaid'),
       buildEnded(40_000, 'other'),
       buildLine(41_000, 'gate_started'),
     ]);
-    const unsaid = requests.find(({requestId}) => requestId === 'unsaid');
-    expect([unsaid?.cause, unsaid?.isOpen]).toEqual([undefined, true]);
+    const requestWithoutEnd = requests.find(
+      ({requestId}) => requestId === 'unsaid',
+    );
+    expect([requestWithoutEnd?.cause, requestWithoutEnd?.isOpen]).toEqual([
+      undefined,
+      true,
+    ]);
   });
 
-  it('loses what a gate held that never came back', () => {
-    // Guards against missing a request that was lost with its host.
+  it('assigns gate-ended to a request in progress at a gate that stops logging for good', () => {
+    // Guards against missing a request that was lost with the host of its gate.
     const held = buildPlaced(10, 'held');
-    const going = (ms: number) => ({...buildEnded(ms, 'other'), proc: 'g2'});
-    expect(judge([held, going(11_000)])[0].cause).toEqual('gate-ended');
-    expect(judge([held, going(9000)])[0].isOpen).toEqual(true);
+    const buildLaterEnd = (ms: number) => ({
+      ...buildEnded(ms, 'other'),
+      proc: 'g2',
+    });
+    expect(judgeLog([held, buildLaterEnd(11_000)])[0].cause).toEqual(
+      'gate-ended',
+    );
+    expect(judgeLog([held, buildLaterEnd(9000)])[0].isOpen).toEqual(true);
   });
 
-  it('says nothing of a forecast that a clock was set back over', () => {
-    // Guards against a forecast error that is a clock step.
-    const {cause, forecast} = judgeOne([
+  it('reports no forecast when the clock was set back during the request', () => {
+    // Guards against reporting a clock step as a forecast error.
+    const {cause, forecast} = judgeSingle([
       buildPlaced(40_000, 'q'),
       buildEnded(10_900, 'q', {ms: 900, ttftMs: 600}),
     ]);
@@ -181,16 +198,16 @@
     expect(cause).toEqual('late-unpredicted');
   });
 
-  it('calls nothing late on a route without an objective', () => {
-    const judged = judgeOne([
+  it('judges no answer late on a route without an objective', () => {
+    const judged = judgeSingle([
       buildEnded(900, 'q', {route: 'toString', ms: 900, ttftMs: 800}),
     ]);
     expect(judged.hasObjective).toEqual(false);
     expect(judged.cause).toEqual(undefined);
   });
 
-  it('keeps requests without an id apart', () => {
+  it('judges requests without an id as separate requests', () => {
     const ends = [buildEnded(500, undefined), buildEnded(510, undefined)];
-    expect(judge(ends).length).toEqual(2);
+    expect(judgeLog(ends).length).toEqual(2);
   });
 });
--- a/packages/nutmeggauge/src/losses/judge-request.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.ts
@@ -1,5 +1,6 @@
 /**
- * Judges a request: its kind, its worth, and the cause by which that was lost.
+ * Judges a request: resolves its kind and worth, and the cause by which worth
+ * was lost.
  */
 import {resolveBucket} from '../load/workload.js';
 import {findObjective} from './objectives.js';
@@ -13,65 +14,72 @@
   AttemptEnd,
 } from './client-attempts.js';
 
-/** Outcomes of requests that reached no target. */
-const REFUSALS: ReadonlySet<string> = new Set([
+/** Outcomes of requests that no target executed. */
+const REFUSED_OUTCOMES: ReadonlySet<string> = new Set([
   'no_target',
   'not_run',
   'too_late',
   'overloaded',
 ]);
 
-/** First status of a server failure (RFC 9110, 15.6). */
-const FAILURE_STATUS = 500;
+/** Lowest HTTP status code of a server error (RFC 9110, 15.6). */
+const MIN_FAILURE_STATUS = 500;
 
-/** Name of a route or kind that no line gives. */
+/** Placeholder for a route or kind that no log line contains. */
 export const UNKNOWN = '?';
 
-/** Predicted and actual time to first token. */
+/** Predicted and actual time to first token of a request. */
 export interface TtftForecast {
   /** Predicted time from the arrival to the first token, in ms. */
   readonly predictedMs: number;
   readonly ttftMs: number;
-  /** Age of the gate's facts at the placement, in ms. */
+  /** Age of the gate's copy of the fleet state at the placement, in ms. */
   readonly factsAgeMs: number;
 }
 
-/** One request as judged. */
+/** A request with its worth, and the cause by which it lost worth. */
 export interface JudgedRequest {
   readonly requestId: string | undefined;
   readonly route: string;
   readonly kind: string;
-  /** Size class of the prompt; `-` for a request without one. */
+  /** Length bucket of the prompt; `-` for a request without a prompt. */
   readonly size: string;
   readonly tokens: number | undefined;
-  /** Wall clock of the gate where it arrived first, in ms. */
+  /**
+   * First arrival of the request, as wall-clock time of the gate there, in ms.
+   */
   readonly arrivedAt: number;
   readonly worth: number;
   readonly cause: Cause | undefined;
   readonly lost: number;
-  /** Its end is not in the log. */
+  /**
+   * The end of the request is not in the logs, and the request was not lost
+   * with its gate process.
+   */
   readonly isOpen: boolean;
-  /** Its route has an objective. */
+  /** The route of the request has a latency objective. */
   readonly hasObjective: boolean;
   readonly forecast: TtftForecast | undefined;
   readonly attempt: ClientAttempt;
 }
 
 /**
- * Largest difference between a timestamp and a rounded duration of the same
- * clock, in ms.
+ * Largest difference that rounding causes between a logged timestamp and a
+ * logged duration of the same clock, in ms.
  */
-const STAMP_ERROR_MS = 5;
+const TIMESTAMP_TOLERANCE_MS = 5;
 
 /** Finds the placement that produced the first token. */
 function findPlacement(
   attempt: ClientAttempt,
   ttftMs: number,
 ): PlacementRecord | undefined {
-  const firstAt = attempt.arrivedAt + ttftMs;
-  // After a clock step the timestamps do not fit, and there is no forecast.
+  const firstTokenAt = attempt.arrivedAt + ttftMs;
+  // After a clock step during the request, the placement is outside this range,
+  // and there is no forecast.
   return attempt.placements.findLast(
-    ({t}) => t >= attempt.arrivedAt - STAMP_ERROR_MS && t <= firstAt,
+    ({t}) =>
+      t >= attempt.arrivedAt - TIMESTAMP_TOLERANCE_MS && t <= firstTokenAt,
   );
 }
 
@@ -88,7 +96,7 @@
   };
 }
 
-function judgeLate(
+function judgeLatency(
   end: AttemptEnd,
   objective: Objective | undefined,
   forecast: TtftForecast | undefined,
@@ -101,8 +109,8 @@
       ? 'late-predicted'
       : 'late-mispredicted';
   }
-  const isPaused = itlMs !== undefined && (end.maxItlMs ?? 0) > itlMs;
-  return isPaused ? 'late-itl' : undefined;
+  const isItlExceeded = itlMs !== undefined && (end.maxItlMs ?? 0) > itlMs;
+  return isItlExceeded ? 'late-itl' : undefined;
 }
 
 function judgeAttempt(
@@ -111,17 +119,22 @@
   forecast: TtftForecast | undefined,
 ): Cause | undefined {
   const {end} = attempt;
-  if (end === undefined) return attempt.isGateGone ? 'gate-ended' : undefined;
-  if (end.isEarly || REFUSALS.has(end.outcome)) return 'refused';
+  if (end === undefined)
+    return attempt.isLostWithGate ? 'gate-ended' : undefined;
+  if (end.isRefusedBeforeRouting || REFUSED_OUTCOMES.has(end.outcome))
+    return 'refused';
   if (end.outcome === 'caller_left') return 'caller-left';
-  // A failure of the target is an answer, but no success.
-  const isFailed = (end.status ?? 0) >= FAILURE_STATUS;
+  // A server error of the target is logged as `answered`, but is no success.
+  const isFailed = (end.status ?? 0) >= MIN_FAILURE_STATUS;
   if (end.outcome !== 'answered' || isFailed) return 'cut';
-  return judgeLate(end, objective, forecast);
+  return judgeLatency(end, objective, forecast);
 }
 
-/** Finds a value that any client attempt gives: early refusals lack most. */
-function findFact<T>(
+/**
+ * Returns the first value that a client attempt has: attempts refused before
+ * routing lack most values.
+ */
+function findAttemptValue<T>(
   attempts: readonly ClientAttempt[],
   read: (attempt: ClientAttempt) => T | undefined,
 ): T | undefined {
@@ -145,10 +158,11 @@
   const isStream = attempts.some(
     ({placements, deferredAt}) => placements.length + deferredAt.length > 0,
   );
-  const route = findFact(attempts, ({end}) => end?.route) ?? UNKNOWN;
+  const route = findAttemptValue(attempts, ({end}) => end?.route) ?? UNKNOWN;
   const kind =
-    findFact(attempts, ({end}) => end?.kind) ?? (isStream ? 'stream' : UNKNOWN);
-  const tokens = findFact(
+    findAttemptValue(attempts, ({end}) => end?.kind) ??
+    (isStream ? 'stream' : UNKNOWN);
+  const tokens = findAttemptValue(
     attempts,
     ({end, placements}) => end?.tokens ?? placements.at(0)?.tokens,
   );
@@ -166,7 +180,7 @@
     worth,
     cause,
     lost: estimateLost(worth, cause),
-    isOpen: attempt.end === undefined && !attempt.isGateGone,
+    isOpen: attempt.end === undefined && !attempt.isLostWithGate,
     hasObjective: objective !== undefined,
     forecast,
     attempt,
--- a/packages/nutmeggauge/src/losses/losses.test.ts
+++ b/packages/nutmeggauge/src/losses/losses.test.ts
@@ -17,15 +17,18 @@
   writeTestFile,
 } from '../test/gate-lines.js';
 import {listActivity, pickPrompt} from './engine-activity.js';
-import {readGateLogs} from './gate-lives.js';
+import {readGateLogs} from './gate-incarnations.js';
 import {runLosses} from './losses.js';
 import {judgeRequests} from './summarize-losses.js';
 import type {LossAnalysis} from './summarize-losses.js';
 
 const OBJECTIVES = 'routes: {chat: {ttftMs: 300, itlMs: 250}}\n';
 
-/** A long late prompt, beside a longer one in time and a short late one. */
-const DAY = [
+/**
+ * Log of a long late prompt, served at the same time as a longer prompt in time
+ * and a short late one.
+ */
+const LOG_LINES = [
   buildLine(0, 'gate_started'),
   buildPlaced(1000, 'short', {decoder: 'e3'}),
   buildPlaced(1010, 'good', {tokens: 300_000, decoder: 'e4'}),
@@ -40,16 +43,16 @@
   buildEnded(2900, 'long', {tokens: 90_000, ms: 1900, ttftMs: 700}),
 ];
 
-function findOutputs() {
+function createOutputPaths() {
   const dir = dirname(writeTestFile('marker', ''));
   return {json: join(dir, 'out.json'), html: join(dir, 'out.html')};
 }
 
 describe('nutmeggauge losses', () => {
-  it('prints tables and writes the same as JSON and as a page', () => {
-    const outputs = findOutputs();
+  it('prints the tables and writes the same analysis as JSON and as an HTML page', () => {
+    const outputs = createOutputPaths();
     const text = runLosses({
-      paths: [writeLog(DAY)],
+      paths: [writeLog(LOG_LINES)],
       objectives: writeTestFile('objectives.yaml', OBJECTIVES),
       ...outputs,
     });
@@ -63,9 +66,10 @@
     expect(page).toInclude('<td>7.5</td>');
   });
 
-  it('draws the largest late prompt, its shards marked', () => {
-    // The largest late prompt is shown, not the largest one.
-    const logs = readGateLogs([writeLog(DAY)]);
+  it('plots the largest late prompt and marks the spans of its engines as selected', () => {
+    // Guards against plotting the largest prompt although its answer was in
+    // time.
+    const logs = readGateLogs([writeLog(LOG_LINES)]);
     const routes = {chat: {ttftMs: 300}};
     const requests = judgeRequests(logs, {routes});
     const prompt = pickPrompt(requests);
@@ -73,11 +77,11 @@
     if (prompt === undefined) return;
     const {engines, spans, from} = listActivity(requests, prompt);
     expect(engines).toEqual(['e1', 'e2', 'e<3>', 'e3', 'e4']);
-    const marked = spans
-      .filter(({isMarked}) => isMarked)
-      .map(span => [span.engine, span.work, span.from - from, span.to - from]);
-    // Its arrival is one second into the plot.
-    expect(marked).toEqual([
+    const selectedSpans = spans
+      .filter(({isSelected}) => isSelected)
+      .map(span => [span.engine, span.phase, span.from - from, span.to - from]);
+    // The plot begins one second before the arrival of the prompt.
+    expect(selectedSpans).toEqual([
       ['e1', 'prefill', 1050, 1700],
       ['e2', 'prefill', 1050, 1700],
       ['e<3>', 'prefill', 1050, 1700],
@@ -85,7 +89,7 @@
     ]);
   });
 
-  it('ends the prefill of an engine that broke off', () => {
+  it('ends the prefill span of an engine when its attempt fails', () => {
     const lines = [
       buildLine(0, 'gate_started'),
       buildPlaced(1000, 'q'),
@@ -97,19 +101,19 @@
       routes: {},
     });
     const {spans, from} = listActivity(requests, requests[0]);
-    expect(spans.map(span => [span.engine, span.work, span.to - from])).toEqual(
-      [
-        ['e1', 'prefill', 1100],
-        ['e2', 'prefill', 1500],
-        ['e2', 'decode', 2000],
-      ],
-    );
+    expect(
+      spans.map(span => [span.engine, span.phase, span.to - from]),
+    ).toEqual([
+      ['e1', 'prefill', 1100],
+      ['e2', 'prefill', 1500],
+      ['e2', 'decode', 2000],
+    ]);
   });
 
-  it('keeps names of callers and engines from the page’s markup', () => {
+  it('escapes request ids, routes and engine names in the HTML page', () => {
     // Guards against script injection by a request id.
     const id = '<script>alert(1)</script>';
-    const outputs = findOutputs();
+    const outputs = createOutputPaths();
     const lines = [
       buildLine(0, 'gate_started'),
       buildPlaced(10, id, {decoder: '<b>'}),
@@ -121,21 +125,21 @@
     expect(page).toInclude('&lt;i&gt;');
   });
 
-  it('draws the asked request, and refuses one that nobody names', () => {
-    const paths = [writeLog(DAY)];
-    const outputs = findOutputs();
+  it('plots the requested request, and throws UnknownRequestError when no line has its id', () => {
+    const paths = [writeLog(LOG_LINES)];
+    const outputs = createOutputPaths();
     runLosses({paths, ...outputs, request: 'short'});
     expect(readFileSync(outputs.html, 'utf8')).toInclude('Request short');
-    const {html} = findOutputs();
+    const {html} = createOutputPaths();
     expect(() => runLosses({paths, html, request: 'nobody'})).toThrow(
       UnknownRequestError,
-      'no line names the request nobody',
+      'no log line has the request id nobody',
     );
     expect(existsSync(html)).toEqual(false);
   });
 
-  it('names a bad file of objectives, and one that cannot be written', () => {
-    const paths = [writeLog(DAY)];
+  it('throws SettingsError for an invalid objective, and OutputFileError when a file cannot be written', () => {
+    const paths = [writeLog(LOG_LINES)];
     const objectives = writeTestFile('o.yaml', 'routes: {chat: {fristMs: 1}}');
     expect(() => runLosses({paths, objectives})).toThrow(
       SettingsError,
@@ -147,26 +151,27 @@
     );
   });
 
-  it('goes through a log that is cut anywhere', () => {
-    // Guards against logs that begin or end in the middle of a line.
-    const text = DAY.map(line => JSON.stringify(line)).join('\n');
-    const {html} = findOutputs();
+  it('throws only command errors for a log that is cut at any position', () => {
+    // Guards against an untyped error for a log that begins or ends in the
+    // middle of a line.
+    const text = LOG_LINES.map(line => JSON.stringify(line)).join('\n');
+    const {html} = createOutputPaths();
     for (let at = 0; at <= text.length; at += 7) {
       for (const part of [text.slice(0, at), text.slice(at)]) {
         const paths = [writeTestFile('cut.log', part)];
-        checkTyped(() => runLosses({paths, html}));
+        runIgnoringCommandErrors(() => runLosses({paths, html}));
       }
     }
   });
 
-  it('believes no duration of 270,000 years', () => {
-    // Guards against an arrival that cannot be printed as a date.
+  it('ignores a logged duration of 270,000 years', () => {
+    // Guards against an arrival time that cannot be formatted as a date.
     const lines = [buildEnded(0, 'q', {outcome: 1, ms: -8640000000002000})];
     const text = runLosses({paths: [writeLog(lines)]});
     expect(text).toInclude('1 requests');
   });
 
-  it('goes through lines whose fields are anything', () => {
+  it('throws only command errors for lines whose fields have arbitrary values', () => {
     // Guards against an untyped error for a log of another version.
     const events = ['gate_started', 'stream_placed', 'request_ended'];
     const line = fc.record({
@@ -184,20 +189,22 @@
       maxItlMs: fc.jsonValue(),
       ms: fc.oneof(fc.double(), fc.jsonValue()),
     });
-    const {html} = findOutputs();
+    const {html} = createOutputPaths();
     const objectives = writeTestFile('o.yaml', 'others: {ttftMs: 1}');
     fc.assert(
       fc.property(fc.array(line, {maxLength: 12}), lines => {
         const paths = [writeLog(lines)];
-        checkTyped(() => runLosses({paths, html, objectives}));
+        runIgnoringCommandErrors(() => runLosses({paths, html, objectives}));
       }),
       {numRuns: 300},
     );
   });
 });
 
-/** Accepts errors that the command line reports in one line. */
-function checkTyped(run: () => void): void {
+/**
+ * Runs a function and ignores errors that the command line reports in one line.
+ */
+function runIgnoringCommandErrors(run: () => void): void {
   try {
     run();
   } catch (error) {
--- a/packages/nutmeggauge/src/losses/sourced-lines.ts
+++ b/packages/nutmeggauge/src/losses/sourced-lines.ts
@@ -1,24 +1,27 @@
 /**
- * Reads log lines with their source, and counts the ignored ones. Lines keep
- * the order of their file, as a host's clock may be set back.
+ * Reads log lines with their sources, and counts ignored lines. Lines keep the
+ * order of their file, because a host's clock may be set back.
  */
 import {listLogFiles, readRawLines} from '../timeline/log-files.js';
 import {isTimelineEvent} from '../timeline/merge.js';
 import type {RawLine} from '../timeline/log-files.js';
 import type {TimelineEvent} from '../timeline/merge.js';
 
-/** First event of a process, before it knows its name. */
-export const FIRST_EVENT = 'program_starting';
+/** First event of a process, logged before the process knows its name. */
+export const PROGRAM_STARTING = 'program_starting';
 
-/** A line with the process or file that it came from. */
+/**
+ * A log line with its source: the file, and the collector's prefix if there is
+ * one.
+ */
 export interface SourcedLine {
   readonly source: string;
-  readonly event: TimelineEvent | typeof FIRST_EVENT;
-  /** The line's JSON as it was written. */
+  readonly event: TimelineEvent | typeof PROGRAM_STARTING;
+  /** JSON text of the line, as logged. */
   readonly text: string;
 }
 
-/** Lines of all files, and counts of the ignored ones. */
+/** Log lines of all files, and counts of ignored and repeated lines. */
 export interface SourcedLines {
   readonly files: readonly string[];
   readonly lines: readonly SourcedLine[];
@@ -26,12 +29,13 @@
   readonly malformedLines: number;
   /** JSON lines of other programs. */
   readonly foreignLines: number;
-  /** Lines that occur in an earlier file. */
+  /** Lines left out because an earlier file contains them as well. */
   readonly repeatedLines: number;
 }
 
 /**
- * Source of a line: the last word of the collector's prefix, or else the file.
+ * Resolves the source of a line: the file, followed by the last word of the
+ * collector's prefix if there is one.
  */
 function resolveSource(file: string, prefix: string): string {
   return prefix === '' ? file : `${file} ${prefix.split(/\s+/).at(-1)}`;
@@ -42,55 +46,56 @@
   if (fields === undefined) return undefined;
   const source = resolveSource(file, prefix);
   if (isTimelineEvent(fields)) return {source, event: fields, text};
-  return fields.event === FIRST_EVENT
-    ? {source, event: FIRST_EVENT, text}
+  return fields.event === PROGRAM_STARTING
+    ? {source, event: PROGRAM_STARTING, text}
     : undefined;
 }
 
-/** What one file holds. */
+/** Log lines of one file, and counts of its ignored lines. */
 interface FileLines {
   readonly lines: readonly SourcedLine[];
   readonly malformed: number;
   readonly foreign: number;
-  /** First timestamp; infinite if there is none. */
-  readonly beginsAt: number;
+  /** First timestamp in the file, in ms; infinite if there is none. */
+  readonly firstTimestamp: number;
 }
 
 function readFileLines(file: string): FileLines {
-  const raws = readRawLines(file);
-  const lines = raws.flatMap(raw => toSourcedLine(file, raw) ?? []);
-  const malformed = raws.filter(({fields}) => fields === undefined).length;
-  const stamped = lines.find(({event}) => event !== FIRST_EVENT)?.event;
+  const rawLines = readRawLines(file);
+  const lines = rawLines.flatMap(raw => toSourcedLine(file, raw) ?? []);
+  const malformed = rawLines.filter(({fields}) => fields === undefined).length;
+  const firstEvent = lines.find(({event}) => event !== PROGRAM_STARTING)?.event;
   return {
     lines,
     malformed,
-    foreign: raws.length - malformed - lines.length,
-    beginsAt: typeof stamped === 'object' ? stamped.t : Infinity,
+    foreign: rawLines.length - malformed - lines.length,
+    firstTimestamp: typeof firstEvent === 'object' ? firstEvent.t : Infinity,
   };
 }
 
 /**
- * Removes lines that occur in an earlier file, as logs are often given by host
- * and merged as well. Equal lines within a file are different events.
+ * Merges files without the lines that occur in an earlier file, because logs
+ * are often given both by host and merged. Equal lines within a file are
+ * different events.
  */
 function mergeFiles(files: readonly FileLines[]): readonly SourcedLine[] {
   const seen = new Set<string>();
   return files.flatMap(({lines}) => {
-    const own = lines.filter(
-      ({event, text}) => event === FIRST_EVENT || !seen.has(text),
+    const newLines = lines.filter(
+      ({event, text}) => event === PROGRAM_STARTING || !seen.has(text),
     );
-    for (const {text} of own) seen.add(text);
-    return own;
+    for (const {text} of newLines) seen.add(text);
+    return newLines;
   });
 }
 
 function sum(counts: readonly number[]): number {
-  return counts.reduce((all, count) => all + count, 0);
+  return counts.reduce((total, count) => total + count, 0);
 }
 
 /**
- * Reads log files, or every `.log` file of a folder, ordered by their first
- * timestamps.
+ * Reads log files, or every `.log` file of a folder, with files ordered by
+ * their first timestamps.
  *
  * @throws InputFileError when a file is missing or cannot be read.
  * @example
@@ -100,7 +105,7 @@
   const files = listLogFiles(paths);
   const contents = files
     .map(readFileLines)
-    .sort((a, b) => a.beginsAt - b.beginsAt);
+    .sort((a, b) => a.firstTimestamp - b.firstTimestamp);
   const lines = mergeFiles(contents);
   return {
     files,
--- a/packages/nutmeggauge/src/losses/summarize-forecasts.ts
+++ b/packages/nutmeggauge/src/losses/summarize-forecasts.ts
@@ -1,6 +1,6 @@
 /**
- * Errors of predicted times to first token, by prompt size and age of the
- * facts.
+ * Summarizes the errors of predicted times to first token, by prompt size and
+ * by age of the gate's copy of the fleet state.
  */
 import {quantileSorted} from 'simple-statistics';
 import {LENGTH_BUCKETS} from '../load/workload.js';
@@ -12,10 +12,13 @@
  */
 const AGE_BOUNDS_MS = [50, 200, 1000, 4000] as const;
 
-/** All age classes together. */
+/** Class that contains forecasts of every age. */
 export const ALL_AGES = 'all';
 
-/** Forecast errors of one class, in ms; positive is later than predicted. */
+/**
+ * Forecast errors of one size and age class, in ms; a positive error is a first
+ * token later than predicted.
+ */
 export interface ForecastErrors {
   readonly size: string;
   readonly age: string;
@@ -25,16 +28,20 @@
   readonly most: number;
 }
 
-function resolveAge(factsAgeMs: number): string {
+function resolveAgeClass(factsAgeMs: number): string {
   const bound = AGE_BOUNDS_MS.find(ms => factsAgeMs <= ms);
   return bound === undefined
     ? `> ${AGE_BOUNDS_MS.at(-1)} ms`
     : `<= ${bound} ms`;
 }
 
-const AGES = [ALL_AGES, ...AGE_BOUNDS_MS.map(resolveAge), resolveAge(Infinity)];
+const AGE_CLASSES = [
+  ALL_AGES,
+  ...AGE_BOUNDS_MS.map(resolveAgeClass),
+  resolveAgeClass(Infinity),
+];
 
-/** A forecast with its classes. */
+/** Forecast error of one request, with its size and age class. */
 interface ForecastSample {
   readonly size: string;
   readonly age: string;
@@ -45,11 +52,15 @@
   if (forecast === undefined) return [];
   const {ttftMs, predictedMs, factsAgeMs} = forecast;
   const errorMs = ttftMs - predictedMs;
-  return [ALL_AGES, resolveAge(factsAgeMs)].map(age => ({size, age, errorMs}));
+  return [ALL_AGES, resolveAgeClass(factsAgeMs)].map(age => ({
+    size,
+    age,
+    errorMs,
+  }));
 }
 
 /**
- * Summarizes forecast errors by size and age.
+ * Summarizes forecast errors by prompt size and age of the fleet state.
  *
  * @example
  * summarizeForecasts(requests)[0].p90;
@@ -59,7 +70,7 @@
 ): readonly ForecastErrors[] {
   const samples = requests.flatMap(toSamples);
   return LENGTH_BUCKETS.flatMap(({name: size}) =>
-    AGES.flatMap(age => {
+    AGE_CLASSES.flatMap(age => {
       const errors = samples
         .filter(sample => sample.size === size && sample.age === age)
         .map(({errorMs}) => errorMs)
--- a/packages/nutmeggauge/src/losses/summarize-kinds.ts
+++ b/packages/nutmeggauge/src/losses/summarize-kinds.ts
@@ -1,34 +1,35 @@
-/** Worth lost by cause, for each route, kind and prompt size. */
+/** Summarizes lost worth by cause, for each route, kind and prompt size. */
 import {CAUSES} from './causes.js';
 import type {Cause} from './causes.js';
 import type {JudgedRequest} from './judge-request.js';
 
-/** Requests and worth. */
+/** Number of requests with one cause, and the worth that they lost. */
 export interface LossSum {
   readonly requests: number;
   readonly worth: number;
 }
 
-/** Losses of one kind of request. */
+/** Losses of the requests with one route, kind and prompt size. */
 export interface KindLosses {
   readonly route: string;
   readonly kind: string;
   readonly size: string;
   readonly requests: number;
-  /** Worth of them all. */
+  /** Worth of all these requests. */
   readonly worth: number;
   readonly lost: number;
   readonly byCause: Readonly<Record<Cause, LossSum>>;
   /**
-   * Estimated worth of requests that would have arrived during gaps of gates.
+   * Estimated worth of requests that would have arrived in gaps between gate
+   * incarnations.
    */
   readonly estimatedNoGate: number;
-  /** Its route has an objective, so late answers are known. */
+  /** The route has a latency objective, so late answers are detected. */
   readonly hasObjective: boolean;
 }
 
 /**
- * Sums requests by their causes.
+ * Sums requests and their lost worth by cause.
  *
  * @example
  * sumByCause(requests).refused.worth;
@@ -37,8 +38,8 @@
   requests: readonly JudgedRequest[],
 ): Record<Cause, LossSum> {
   const sums = CAUSES.map(cause => {
-    const own = requests.filter(request => request.cause === cause);
-    return [cause, {requests: own.length, worth: sumLost(own)}];
+    const members = requests.filter(request => request.cause === cause);
+    return [cause, {requests: members.length, worth: sumLost(members)}];
   });
   return Object.fromEntries(sums) as Record<Cause, LossSum>;
 }
@@ -64,7 +65,7 @@
 }
 
 /**
- * Groups requests by a key.
+ * Groups items by a key.
  *
  * @example
  * listByKey(requests, ({route}) => route).get('chat');
@@ -83,34 +84,36 @@
 }
 
 /**
- * Summarizes each kind of request, largest loss first.
+ * Summarizes the losses for each route, kind and prompt size, largest loss
+ * first.
  *
- * @param noGateWorth - Estimate of what gates were not there for, of all kinds.
+ * @param gapWorth - Estimated worth of all requests that would have arrived in
+ *   gaps between gate incarnations.
  * @example
  * summarizeKinds(requests, 0)[0].lost;
  */
 export function summarizeKinds(
   requests: readonly JudgedRequest[],
-  noGateWorth: number,
+  gapWorth: number,
 ): readonly KindLosses[] {
-  const all = sumWorth(requests);
+  const totalWorth = sumWorth(requests);
   const byKind = listByKey(requests, ({route, kind, size}) =>
     JSON.stringify([route, kind, size]),
   );
   return [...byKind.values()]
-    .map(own => {
-      const {route, kind, size, hasObjective} = own[0];
-      const worth = sumWorth(own);
+    .map(members => {
+      const {route, kind, size, hasObjective} = members[0];
+      const worth = sumWorth(members);
       return {
         route,
         kind,
         size,
-        requests: own.length,
+        requests: members.length,
         worth,
-        lost: sumLost(own),
-        byCause: sumByCause(own),
-        // Assumes the mix of the requests that did arrive.
-        estimatedNoGate: all > 0 ? (noGateWorth * worth) / all : 0,
+        lost: sumLost(members),
+        byCause: sumByCause(members),
+        // Assumes that missed requests have the same mix as those that arrived.
+        estimatedNoGate: totalWorth > 0 ? (gapWorth * worth) / totalWorth : 0,
         hasObjective,
       };
     })
--- a/packages/nutmeggauge/src/losses/summarize-losses.ts
+++ b/packages/nutmeggauge/src/losses/summarize-losses.ts
@@ -1,4 +1,4 @@
-/** The whole analysis of `nutmeggauge losses`. */
+/** Builds the whole analysis of `nutmeggauge losses`. */
 import {estimateRates, listGaps} from './gate-gaps.js';
 import {UNKNOWN, judgeRequest} from './judge-request.js';
 import {summarizeEngines} from './summarize-engines.js';
@@ -7,7 +7,7 @@
 import {summarizeWindows} from './summarize-windows.js';
 import {listClientAttempts, mergeClientAttempts} from './client-attempts.js';
 import type {GateGap} from './gate-gaps.js';
-import type {GateLogs} from './gate-lives.js';
+import type {GateLogs} from './gate-incarnations.js';
 import type {JudgedRequest} from './judge-request.js';
 import type {Objectives} from './objectives.js';
 import type {EngineLosses} from './summarize-engines.js';
@@ -15,21 +15,28 @@
 import type {KindLosses} from './summarize-kinds.js';
 import type {LossWindow} from './summarize-windows.js';
 
-/** Coverage of the logs. */
+/**
+ * Extent of the logs, with counts of what is missing from them or was ignored.
+ */
 export interface LogCoverage {
   readonly files: readonly string[];
   readonly gates: number;
   readonly requests: number;
-  /** Requests whose end is not in the log. */
+  /** Requests whose end is not in the logs. */
   readonly openRequests: number;
-  /** First tokens without a forecast: dropped lines, or clock steps. */
+  /**
+   * Requests with a first token but no forecast, because of dropped lines or
+   * clock steps.
+   */
   readonly withoutForecast: number;
   readonly malformedLines: number;
   readonly foreignLines: number;
   readonly repeatedLines: number;
   readonly droppedLines: number;
   readonly clockSteps: Readonly<Record<string, number>>;
-  /** Routes without an objective, whose late answers are unknown. */
+  /**
+   * Routes without a latency objective, whose late answers are not detected.
+   */
   readonly routesWithoutObjective: readonly string[];
 }
 
@@ -39,7 +46,8 @@
   readonly worth: number;
   readonly lost: number;
   /**
-   * Estimated worth of requests that would have arrived during gaps of gates.
+   * Estimated worth of requests that would have arrived in gaps between gate
+   * incarnations.
    */
   readonly estimatedNoGate: number;
   readonly kinds: readonly KindLosses[];
@@ -50,7 +58,7 @@
 }
 
 /**
- * Judges every request of the logs.
+ * Judges every request in the logs.
  *
  * @example
  * judgeRequests(readGateLogs(['all.log']), objectives);
@@ -59,8 +67,8 @@
   logs: GateLogs,
   objectives: Objectives,
 ): readonly JudgedRequest[] {
-  return mergeClientAttempts(listClientAttempts(logs.lives)).map(record =>
-    judgeRequest(record, objectives),
+  return mergeClientAttempts(listClientAttempts(logs.incarnations)).map(
+    record => judgeRequest(record, objectives),
   );
 }
 
@@ -68,33 +76,33 @@
   logs: GateLogs,
   requests: readonly JudgedRequest[],
 ): LogCoverage {
-  const {lives, files, malformedLines, foreignLines} = logs;
-  const blind = requests.filter(
+  const {incarnations, files, malformedLines, foreignLines} = logs;
+  const missingForecast = requests.filter(
     ({attempt, forecast}) =>
       attempt.end?.ttftMs !== undefined && forecast === undefined,
   );
-  const unjudged = requests.filter(
+  const withoutObjective = requests.filter(
     ({hasObjective, route}) => !hasObjective && route !== UNKNOWN,
   );
   return {
     files,
-    gates: new Set(lives.map(({proc}) => proc)).size,
+    gates: new Set(incarnations.map(({proc}) => proc)).size,
     requests: requests.length,
     openRequests: requests.filter(({isOpen}) => isOpen).length,
-    withoutForecast: blind.length,
+    withoutForecast: missingForecast.length,
     malformedLines,
     foreignLines,
     repeatedLines: logs.repeatedLines,
     droppedLines: logs.droppedLines,
     clockSteps: logs.clockSteps,
     routesWithoutObjective: [
-      ...new Set(unjudged.map(({route}) => route)),
+      ...new Set(withoutObjective.map(({route}) => route)),
     ].sort(),
   };
 }
 
 /**
- * Summarizes the judged requests.
+ * Summarizes the losses of judged requests.
  *
  * @example
  * summarizeLosses(logs, judgeRequests(logs, objectives)).lost;
@@ -104,7 +112,10 @@
   all: readonly JudgedRequest[],
 ): LossAnalysis {
   const requests = all.filter(({isOpen}) => !isOpen);
-  const gaps = listGaps(logs.lives, estimateRates(logs.lives, requests));
+  const gaps = listGaps(
+    logs.incarnations,
+    estimateRates(logs.incarnations, requests),
+  );
   const estimatedNoGate = gaps.reduce(
     (sum, gap) => sum + gap.estimatedWorth,
     0,
--- a/packages/nutmeggauge/src/losses/summarize-windows.ts
+++ b/packages/nutmeggauge/src/losses/summarize-windows.ts
@@ -1,42 +1,45 @@
-/** Time windows of arrivals with the largest losses. */
+/** Summarizes losses by the time window in which requests arrived. */
 import {CAUSES} from './causes.js';
 import {listByKey, sumByCause, sumLost, sumWorth} from './summarize-kinds.js';
 import type {Cause} from './causes.js';
 import type {JudgedRequest} from './judge-request.js';
 import type {LossSum} from './summarize-kinds.js';
 
-/** Length of a window, in ms. */
+/** Length of a time window, in ms. */
 export const WINDOW_MS = 2000;
 
-/** One window. */
+/** Losses of the requests that arrived in one time window. */
 export interface LossWindow {
-  /** Begin on the gates' wall clock, in ms. */
+  /** Start of the window as wall-clock time of the gates, in ms. */
   readonly from: number;
   readonly requests: number;
   readonly worth: number;
   readonly lost: number;
   readonly byCause: Readonly<Record<Cause, LossSum>>;
-  /** The cause of the largest loss. */
+  /** Cause with the largest lost worth. */
   readonly mainCause: Cause;
 }
 
-function buildWindow(from: number, own: readonly JudgedRequest[]): LossWindow {
-  const byCause = sumByCause(own);
+function buildWindow(
+  from: number,
+  members: readonly JudgedRequest[],
+): LossWindow {
+  const byCause = sumByCause(members);
   const mainCause = CAUSES.reduce((most, cause) =>
     byCause[cause].worth > byCause[most].worth ? cause : most,
   );
   return {
     from,
-    requests: own.length,
-    worth: sumWorth(own),
-    lost: sumLost(own),
+    requests: members.length,
+    worth: sumWorth(members),
+    lost: sumLost(members),
     byCause,
     mainCause,
   };
 }
 
 /**
- * Lists the windows with a loss, largest first.
+ * Lists the time windows with a loss, largest loss first.
  *
  * @example
  * summarizeWindows(requests)[0].mainCause;
@@ -48,7 +51,7 @@
     String(Math.floor(arrivedAt / WINDOW_MS) * WINDOW_MS),
   );
   return [...byWindow]
-    .map(([from, own]) => buildWindow(Number(from), own))
+    .map(([from, members]) => buildWindow(Number(from), members))
     .filter(({lost}) => lost > 0)
     .sort((a, b) => b.lost - a.lost || a.from - b.from);
 }
--- a/packages/nutmeggauge/src/timeline/log-files.ts
+++ b/packages/nutmeggauge/src/timeline/log-files.ts
@@ -1,11 +1,14 @@
-/** Reads log files: JSON lines, after any prefix that a collector adds. */
+/**
+ * Reads log files of JSON lines, each after any prefix that a log collector
+ * adds.
+ */
 import {readFileSync, readdirSync, statSync} from 'node:fs';
 import {join} from 'node:path';
 import {InputFileError} from '../cli/errors.js';
 
 /** A log line before its fields are checked. */
 export interface RawLine {
-  /** The text before the JSON, trimmed. */
+  /** The text before the JSON text, trimmed. */
   readonly prefix: string;
   /** The JSON text. */
   readonly text: string;
@@ -14,23 +17,23 @@
 }
 
 /**
- * Lists the files of paths: each file, and every `.log` file of a folder.
+ * Lists the log files of paths: each file, and every `.log` file of a folder.
  *
- * @throws InputFileError when a path does not exist or no file is named.
+ * @throws InputFileError when a path cannot be read or there is no log file.
  * @example
  * listLogFiles(['runs/demo-1']);
  */
 export function listLogFiles(paths: readonly string[]): readonly string[] {
-  const files = paths.flatMap(listLogFilesOf);
+  const files = paths.flatMap(listLogFilesOfPath);
   if (files.length > 0) return [...new Set(files)];
-  const where = paths.length === 0 ? 'no log file named' : 'no .log file in';
+  const problem = paths.length === 0 ? 'no log file named' : 'no .log file in';
   throw new InputFileError(
     {info: {paths}},
-    `${where} ${paths.join(', ')}`.trim(),
+    `${problem} ${paths.join(', ')}`.trim(),
   );
 }
 
-function listLogFilesOf(path: string): readonly string[] {
+function listLogFilesOfPath(path: string): readonly string[] {
   try {
     if (!statSync(path).isDirectory()) return [path];
     return readdirSync(path)
@@ -38,11 +41,11 @@
       .sort()
       .map(name => join(path, name));
   } catch (cause) {
-    throw describeUnreadable(path, cause as Error);
+    throw buildUnreadableError(path, cause as Error);
   }
 }
 
-function describeUnreadable(path: string, cause: Error): InputFileError {
+function buildUnreadableError(path: string, cause: Error): InputFileError {
   return new InputFileError({cause, info: {path}}, `${path}: cannot be read`);
 }
 
@@ -58,13 +61,13 @@
   try {
     content = readFileSync(file, 'utf8');
   } catch (cause) {
-    throw describeUnreadable(file, cause as Error);
+    throw buildUnreadableError(file, cause as Error);
   }
   return content.split('\n').flatMap(line => parseRawLine(line) ?? []);
 }
 
 function parseRawLine(line: string): RawLine | undefined {
-  // Collectors may add a prefix.
+  // Log collectors may add a prefix.
   const start = line.indexOf('{');
   if (start < 0) return undefined;
   const prefix = line.slice(0, start).trim();
@@ -79,7 +82,7 @@
       ? (value as Record<string, unknown>)
       : undefined;
   } catch {
-    // Truncated, or not JSON.
+    // The text is truncated, or not JSON.
     return undefined;
   }
 }
