--- a/packages/nutmeggauge/src/e2e/admin.test.ts
+++ b/packages/nutmeggauge/src/e2e/admin.test.ts
@@ -12,7 +12,7 @@
 } from '../test/stack.js';
 import type {Stack} from '../test/stack.js';
 
-describe('administration API', () => {
+describe('administration API of a gate', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1});
@@ -23,7 +23,7 @@
 
   const adminUrl = () => `http://127.0.0.1:${stack.gate.adminPort}`;
 
-  it('shows what each account has used', async () => {
+  it('lists the requests in flight, admitted and refused of each account', async () => {
     const body = {model: 'chat', prompt: 'x', max_tokens: 1};
     await postJson(`${stack.gateUrl}/v1/completions`, body, TEST_AUTH);
     const {accounts} = await readAdmin<{accounts: object[]}>(
@@ -35,7 +35,7 @@
     ]);
   });
 
-  it('checks a record before it is published', async () => {
+  it('reports whether a configuration record is valid, and the reason if it is not', async () => {
     const good = stack.record;
     const bad = {...good, rules: [{pool: 'ordres', notRepeatable: true}]};
     const check = (record: object) =>
@@ -47,14 +47,14 @@
     });
   });
 
-  it('gives its figures in the text format of Prometheus', async () => {
+  it('serves the metrics in the Prometheus text format', async () => {
     const response = await request(`${adminUrl()}/metrics`);
     const text = await response.body.text();
     expect(text).toInclude('nutmeggauge_api_requests_total');
     expect(text).toInclude('nutmeggauge_ttft_ms{quantile="0.95"}');
   });
 
-  it('keeps the fleet off the port that callers reach', async () => {
+  it('does not expose targets or metrics on the port for callers', async () => {
     // Guards against exposing targets and counters to callers.
     const health = await request(`${stack.gateUrl}/healthz`);
     expect(Object.keys((await health.body.json()) as object)).toEqual([
@@ -66,7 +66,7 @@
     expect(metrics.statusCode).toEqual(405);
   });
 
-  it('needs a token on any address but loopback', () => {
+  it('rejects settings without a token for any address other than loopback', () => {
     const settings = {
       id: 'g',
       zone: 'az-1',
@@ -83,7 +83,7 @@
   });
 });
 
-describe('records of two schemas side by side', () => {
+describe('gate that reads configuration records of two schema versions', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1});
@@ -92,8 +92,9 @@
     await stack.close();
   });
 
-  it('leave a gate of this release on the newest record it can read', async () => {
-    // Guards against a gate that is never told of the record of its own schema.
+  it('applies the newest record whose schema version it supports', async () => {
+    // Guards against a gate that misses the newest record of its own schema
+    // version because records of a later schema version are published around it.
     const {config, gate} = stack;
     const next = stripVersion(stack.record);
     config.publish({...next, schemaVersion: 2});
--- a/packages/nutmeggauge/src/e2e/api.test.ts
+++ b/packages/nutmeggauge/src/e2e/api.test.ts
@@ -5,7 +5,7 @@
 import {OTHER_KEY, TEST_KEY, postJson, startStack} from '../test/stack.js';
 import type {Stack} from '../test/stack.js';
 
-describe('caller API end to end', () => {
+describe('HTTP API for callers', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack();
@@ -14,7 +14,7 @@
     await stack.close();
   });
 
-  it('answers a completion whole, through gate, agent and engine', async () => {
+  it('returns a complete answer to a completion through gate, agent and engine', async () => {
     const res = await postJson(
       `${stack.gateUrl}/v1/completions`,
       {model: 'chat', prompt: 'x'.repeat(8000), max_tokens: 5},
@@ -25,7 +25,7 @@
     expect(res.body.usage.prompt_tokens).toEqual(2000);
   });
 
-  it('streams a chat completion as SSE ending in [DONE]', async () => {
+  it('streams a chat completion as SSE events that end with [DONE]', async () => {
     const res = await postJson(
       `${stack.gateUrl}/v1/chat/completions`,
       {
@@ -42,7 +42,7 @@
     expect(text.trimEnd().endsWith('data: [DONE]')).toEqual(true);
   });
 
-  it('refuses a wrong key with 401 and a typed error', async () => {
+  it('refuses a request with an unknown API key with status 401 and a typed error', async () => {
     const res = await postJson(
       `${stack.gateUrl}/v1/completions`,
       {model: 'chat', prompt: 'x'},
@@ -53,7 +53,7 @@
     expect(res.body.error.reason).toEqual('unknown_key');
   });
 
-  it('refuses a missing key with 401', async () => {
+  it('refuses a request without an API key with status 401', async () => {
     const res = await postJson(`${stack.gateUrl}/v1/completions`, {
       model: 'chat',
       prompt: 'x',
@@ -62,7 +62,7 @@
     expect(res.body.error.reason).toEqual('missing_key');
   });
 
-  it('refuses a pool the account may not use with 403', async () => {
+  it('refuses a request to a pool that the account may not use with status 403', async () => {
     const res = await postJson(
       `${stack.gateUrl}/v1/services/orders/place-order`,
       {sku: 'a'},
@@ -72,8 +72,8 @@
     expect(res.body.error.type).toEqual('forbidden');
   });
 
-  it('refuses at once with Retry-After when the deadline cannot be met', async () => {
-    // A prompt whose prefill takes longer than its deadline.
+  it('refuses a request at once with status 503 and Retry-After when its deadline cannot be met', async () => {
+    // The prefill of this prompt takes longer than its deadline.
     const res = await postJson(
       `${stack.gateUrl}/v1/completions`,
       {model: 'chat', prompt: 'y'.repeat(4_000_000), max_tokens: 4},
@@ -84,9 +84,9 @@
     expect(Number(res.headers['retry-after'])).toBeGreaterThanOrEqual(1);
   });
 
-  it('answers a body above the limit with 413, and runs nothing', async () => {
-    // Guards against a reset in place of an answer, and against a call that
-    // runs without its arguments.
+  it('answers a body above the size limit with status 413 without executing the call', async () => {
+    // Guards against a connection reset instead of an answer, and against a
+    // call that is executed without its arguments.
     const before = stack.plain[0].executions.length;
     const res = await postJson(
       `${stack.gateUrl}/v1/services/orders/place-order`,
@@ -98,8 +98,8 @@
     expect(stack.plain[0].executions.length).toEqual(before);
   });
 
-  it('answers a body that is not JSON with 400, and runs nothing', async () => {
-    // Guards against a call that runs without its arguments.
+  it('answers a body that is not JSON with status 400 without executing the call', async () => {
+    // Guards against a call that is executed without its arguments.
     const before = stack.plain[0].executions.length;
     const res = await request(
       `${stack.gateUrl}/v1/services/orders/place-order`,
--- a/packages/nutmeggauge/src/e2e/at-most-once.test.ts
+++ b/packages/nutmeggauge/src/e2e/at-most-once.test.ts
@@ -29,7 +29,7 @@
   await busy?.close();
 };
 
-describe('engine death mid-stream', () => {
+describe('repeatable stream whose engine dies', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 2});
@@ -38,9 +38,9 @@
     await stack.close();
   });
 
-  it('resumes a repeatable request on another engine and the caller gets the whole answer once', async () => {
-    // Guards against missing or repeated pieces when an engine dies in
-    // mid-answer.
+  it('resumes on another engine and delivers every token of the answer exactly once', async () => {
+    // Guards against missing or repeated tokens when an engine dies in the
+    // middle of an answer.
     let killed: Promise<void> | undefined;
     const result = await streamCompletion(
       stack.gateUrl,
@@ -56,7 +56,7 @@
   });
 });
 
-describe('not-repeatable request when the target dies', () => {
+describe('non-repeatable request whose engine dies', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 2});
@@ -65,8 +65,9 @@
     await stack.close();
   });
 
-  it('is never resent: the caller hears outcome unknown and the engines ran it once', async () => {
-    // Guards against placing an order twice after its engine has died.
+  it('fails with outcome_unknown and is not submitted to another engine', async () => {
+    // Guards against executing a non-repeatable request twice after its engine
+    // has died.
     const before = countSubmitted(stack);
     const pending = postJson(
       `${stack.gateUrl}/v1/completions`,
@@ -81,7 +82,7 @@
   });
 });
 
-describe('order service dies after executing', () => {
+describe('retry of an order with the same idempotency key', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1, plain: 1});
@@ -90,8 +91,8 @@
     await stack.close();
   });
 
-  it('answers outcome unknown, and the caller retry with the same key does not run it again', async () => {
-    // Guards against a second run when the answer to an order was lost.
+  it('fails with outcome_unknown and does not execute the order again after its first answer was lost', async () => {
+    // Guards against a second execution when the answer to an order was lost.
     stack.plain[0].setFault('drop-reply');
     const first = await placeOrder(stack, 'o-1');
     stack.plain[0].setFault('none');
@@ -101,9 +102,9 @@
     expect(stack.plain[0].executions.length).toEqual(1);
   });
 
-  it('gives the retry through a restarted gate the first answer, not a second booking', async () => {
-    // Guards against a second run through a gate that knows nothing of the
-    // first.
+  it('returns the first answer without executing the order again when it is sent through a new gate', async () => {
+    // Guards against a second execution through a gate that has no state about
+    // the first one.
     const first = await placeOrder(stack, 'o-2');
     stack.gate.close();
     const configUrl = `http://127.0.0.1:${(stack.config.server.address() as {port: number}).port}`;
@@ -123,7 +124,7 @@
   });
 });
 
-describe('keyed order whose home agent says not run', () => {
+describe('order with an idempotency key whose home agent reports not_run', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1, plain: 2});
@@ -132,9 +133,9 @@
     await stack.close();
   });
 
-  it('is not moved to another agent, so the caller retry cannot book it twice', async () => {
-    // Guards against a second run at another target after the home refused
-    // once.
+  it('is not sent to another agent, so that a retry by the caller executes it only once', async () => {
+    // Guards against a second execution at another target after the home target
+    // has refused the first attempt.
     const key = 'o-home';
     const homeIndex = findHomeIndex(stack, key);
     stack.plain[homeIndex].setFault('reject');
@@ -149,7 +150,7 @@
   });
 });
 
-describe('keyed order whose home target dies after booking it', () => {
+describe('order with an idempotency key whose home agent goes down after its execution', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1, plain: 2});
@@ -158,8 +159,8 @@
     await stack.close();
   });
 
-  it('is not booked again at another agent by the caller retry', async () => {
-    // Guards against a new home for keys whose home has died.
+  it('is refused with home_unavailable on retry instead of being executed by another agent', async () => {
+    // Guards against assigning a new home to the keys of an agent that is down.
     const key = 'o-death';
     const home = findHomeIndex(stack, key);
     const first = await placeOrder(stack, key);
@@ -175,7 +176,7 @@
   });
 });
 
-describe('keyed order whose home agent restarts', () => {
+describe('order with an idempotency key whose home agent restarts after its execution', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1, plain: 1});
@@ -184,8 +185,9 @@
     await stack.close();
   });
 
-  it('is not booked again by the agent that forgot it', async () => {
-    // Guards against an empty ledger after a restart of the agent.
+  it('fails with outcome_unknown on retry instead of being executed again', async () => {
+    // Guards against an agent that takes a key for a new one because its ledger
+    // is empty after a restart.
     const key = uuidv7();
     await placeOrder(stack, key);
     await stack.restartAgent(1);
@@ -195,7 +197,7 @@
   });
 });
 
-describe('keyed completion repeated by its caller', () => {
+describe('completion repeated with the same idempotency key', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1});
@@ -204,8 +206,8 @@
     await stack.close();
   });
 
-  it('gives the repeat the whole answer of the first run', async () => {
-    // Guards against an empty answer to a repeated stream.
+  it('returns the whole answer of the first run without running again', async () => {
+    // Guards against an empty answer to a completion that is repeated.
     const send = () =>
       postJson(
         `${stack.gateUrl}/v1/completions`,
@@ -220,7 +222,7 @@
   });
 });
 
-describe('order that the service itself refuses', () => {
+describe('order that the service answers with an error', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1});
@@ -229,8 +231,8 @@
     await stack.close();
   });
 
-  it('reaches the caller as the service answered it', async () => {
-    // Guards against reporting the service's own 404 as not run.
+  it('returns the status and the body of the service to the caller', async () => {
+    // Guards against reporting a 404 of the service as not_run.
     stack.plain[0].setFault('not-found');
     const res = await placeOrder(stack, 'o-404');
     expect(res.status).toEqual(404);
--- a/packages/nutmeggauge/src/e2e/config-faults.test.ts
+++ b/packages/nutmeggauge/src/e2e/config-faults.test.ts
@@ -16,14 +16,14 @@
 import type {Stack} from '../test/stack.js';
 
 const auth = {authorization: `Bearer ${TEST_KEY}`};
-const readVersion = async (stack: Stack) =>
+const readConfigVersion = async (stack: Stack) =>
   (
     (await (await request(`${stack.gateUrl}/healthz`)).body.json()) as {
       configVersion: number;
     }
   ).configVersion;
 
-describe('configuration service outages', () => {
+describe('deployment whose configuration service fails', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1});
@@ -32,7 +32,7 @@
     await stack.close();
   });
 
-  it('keeps serving on the last good record while the service is down', async () => {
+  it('serves requests on the last valid record while the service is down', async () => {
     // Guards against refusing requests during an outage of the configuration
     // service.
     stack.config.setMode('down');
@@ -45,15 +45,15 @@
     expect(res.status).toEqual(200);
   });
 
-  it('never reverts to the older record a stale replica serves', async () => {
-    // Guards against a lagging replica that takes a new key away.
+  it('keeps the newest record when a stale replica of the service serves an older one', async () => {
+    // Guards against a lagging replica whose older record removes a new API key.
     const base = stripVersion(stack.record);
     const accounts = [
       ...(base.accounts as object[]),
       {id: 'acct-new', keys: ['new-key-0003'], pools: ['chat']},
     ];
     const v2 = stack.config.publish({...base, accounts});
-    await waitUntil(async () => (await readVersion(stack)) === v2);
+    await waitUntil(async () => (await readConfigVersion(stack)) === v2);
     stack.config.setMode('stale');
     await waitUntil(() => stack.config.calls() > 3);
     const res = await postJson(
@@ -62,14 +62,15 @@
       {authorization: 'Bearer new-key-0003'},
     );
     stack.config.setMode('up');
-    expect(await readVersion(stack)).toEqual(v2);
+    expect(await readConfigVersion(stack)).toEqual(v2);
     expect(res.status).toEqual(200);
   });
 
-  it("lets a gate that starts meanwhile serve on its peer's record", async () => {
-    // Guards against a new gate that refuses everything during an outage.
+  it("serves requests on a peer's record through a gate that starts while the service is down", async () => {
+    // Guards against a new gate that refuses all requests during an outage of
+    // the configuration service.
     const configUrl = `http://127.0.0.1:${readPort(stack.config.server)}`;
-    const version = await readVersion(stack);
+    const version = await readConfigVersion(stack);
     stack.config.setMode('down');
     const gate = await startTestGate(configUrl, version, {
       peers: [`127.0.0.1:${stack.gate.relayPort}`],
@@ -84,9 +85,9 @@
     expect(res.status).toEqual(200);
   });
 
-  it('lets an agent that starts meanwhile take keyed orders', async () => {
-    // Guards against a restarted agent that refuses keyed requests during an
-    // outage.
+  it('accepts orders with an idempotency key at an agent that restarts while the service is down', async () => {
+    // Guards against a restarted agent that refuses requests with an idempotency
+    // key during an outage of the configuration service.
     stack.config.setMode('down');
     await stack.restartAgent(1);
     await waitUntil(
--- a/packages/nutmeggauge/src/e2e/daemon.test.ts
+++ b/packages/nutmeggauge/src/e2e/daemon.test.ts
@@ -12,8 +12,8 @@
 
 const BINARIES = ['gate', 'agent'] as const;
 
-/** Shortest drain, in ms. */
-const DRAIN_MS = 400;
+/** Drain notice of the gate and thus the shortest drain, in ms. */
+const DRAIN_NOTICE_MS = 400;
 
 const SETTINGS: Readonly<Record<(typeof BINARIES)[number], string>> = {
   gate: `
@@ -21,7 +21,7 @@
 zone: az-1
 listen: {host: 127.0.0.1, port: 0}
 configService: {url: 'http://127.0.0.1:9'}
-drainNoticeMs: ${DRAIN_MS}
+drainNoticeMs: ${DRAIN_NOTICE_MS}
 `,
   agent: `
 id: agent-d
@@ -31,8 +31,8 @@
 `,
 };
 
-/** How a process ended, and what it wrote. */
-interface Ending {
+/** Exit status of a process and its output on stderr. */
+interface ExitResult {
   readonly status: number | null;
   readonly output: string;
 }
@@ -50,7 +50,7 @@
   });
 }
 
-describe('the binaries', () => {
+describe('gate and agent binaries', () => {
   const folder = mkdtempSync(join(tmpdir(), 'nutmeggauge-daemon-'));
   before(() => {
     for (const name of BINARIES)
@@ -58,11 +58,11 @@
   });
   after(() => rmSync(folder, {recursive: true}));
 
-  /** Starts a binary, acts on it once it listens, and waits for its end. */
+  /** Starts a binary, calls `act` once it listens, and waits for its exit. */
   async function run(
     name: (typeof BINARIES)[number],
     act: (child: ChildProcess) => void | Promise<void>,
-  ): Promise<Ending> {
+  ): Promise<ExitResult> {
     const child = startBinary(name, join(folder, `${name}.yaml`));
     let output = '';
     const listening = new Promise<void>(resolve =>
@@ -73,15 +73,15 @@
     );
     const exited = once(child, 'exit');
     await listening;
-    // The signal handlers are registered after the start.
+    // The signal handlers are registered after the listening event is logged.
     await waitMs(50);
     await act(child);
     const [status] = (await exited) as [number | null];
     return {status, output};
   }
 
-  it('go on when the reader of their log has gone', async () => {
-    // Guards against a closed log stream that ends the process.
+  it('exit with status 0 on SIGTERM after the reader of their log has disconnected', async () => {
+    // Guards against a process that crashes when its log stream is closed.
     for (const name of BINARIES) {
       const {status} = await run(name, async child => {
         child.stderr?.destroy();
@@ -92,7 +92,7 @@
     }
   });
 
-  it('drain once, however often they are told to stop', async () => {
+  it('complete the drain when a second SIGTERM or SIGINT arrives', async () => {
     // Guards against a second signal that ends the process during the drain.
     for (const signals of [
       ['SIGTERM', 'SIGTERM'],
@@ -100,7 +100,7 @@
     ] as const) {
       const {status, output} = await run('gate', async child => {
         child.kill(signals[0]);
-        await waitMs(DRAIN_MS / 4);
+        await waitMs(DRAIN_NOTICE_MS / 4);
         child.kill(signals[1]);
       });
       expect(status).toEqual(0);
@@ -108,8 +108,8 @@
     }
   });
 
-  it('end when their address is taken', async () => {
-    // Guards against a process that goes on without its listener.
+  it('exit with status 1 when their listen address is in use', async () => {
+    // Guards against a process that keeps running without its listener.
     const taken = createServer();
     const port = await openListener(taken, {host: '127.0.0.1', port: 0});
     for (const name of BINARIES) {
--- a/packages/nutmeggauge/src/e2e/deadlines.test.ts
+++ b/packages/nutmeggauge/src/e2e/deadlines.test.ts
@@ -14,7 +14,7 @@
 
 const auth = {authorization: `Bearer ${TEST_KEY}`};
 
-describe('deadlines and memory', () => {
+describe('request that ends before its answer is complete', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1});
@@ -23,8 +23,8 @@
     await stack.close();
   });
 
-  it('answers at the deadline when the agent froze mid-request', async () => {
-    // Guards against waiting for a frozen agent past the deadline.
+  it('fails with status 504 at its deadline when its agent is frozen', async () => {
+    // Guards against waiting for a frozen agent beyond the deadline.
     const frozen = await startFrozenAgent();
     publishChatTargets(stack, () => [
       {id: 'frozen', agent: `127.0.0.1:${frozen.port}`, zone: 'az-1'},
@@ -45,8 +45,8 @@
     stack.config.publish(stripVersion(stack.record));
   });
 
-  it('frees the engine memory when the caller goes away mid-stream', async () => {
-    // Guards against decoding for a caller that has left.
+  it('frees its KV cache at the engine when its caller disconnects mid-stream', async () => {
+    // Guards against an engine that keeps decoding for a disconnected caller.
     await waitUntil(
       async () =>
         (
@@ -74,7 +74,7 @@
   });
 });
 
-describe('gate that dies mid-stream', () => {
+describe('stream whose gate dies', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1});
@@ -83,8 +83,8 @@
     await stack.close();
   });
 
-  it('leaves no memory behind at the engine', async () => {
-    // Guards against KV cache that a lost gate's request holds.
+  it('frees its KV cache at the engine', async () => {
+    // Guards against KV cache that stays in use for a request of a lost gate.
     const {scheduler} = stack.engines[0];
     await streamCompletion(
       stack.gateUrl,
--- a/packages/nutmeggauge/src/e2e/drain.test.ts
+++ b/packages/nutmeggauge/src/e2e/drain.test.ts
@@ -15,7 +15,7 @@
 const auth = {authorization: `Bearer ${TEST_KEY}`};
 const long = {model: 'chat', prompt: 'd'.repeat(4000), max_tokens: 100};
 
-describe('drain of a leaving target', () => {
+describe('target whose agent drains', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 2});
@@ -24,7 +24,7 @@
     await stack.close();
   });
 
-  it('sends it no new work once its agent drains, and its request in flight finishes whole', async () => {
+  it('receives no new requests and completes the stream in flight', async () => {
     // Guards against cutting a stream when its engine is replaced.
     let drained: Promise<void> | undefined;
     let busy = -1;
@@ -55,7 +55,7 @@
   });
 });
 
-describe('target that the host list says is leaving', () => {
+describe('target that the host list marks as leaving', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 2});
@@ -64,8 +64,9 @@
     await stack.close();
   });
 
-  it('gets no new work, and comes back when the list says so', async () => {
-    // Guards against routing to a host that only the host list calls leaving.
+  it('receives no requests until the host list marks it as live again', async () => {
+    // Guards against routing to a host that is leaving according to the host
+    // list although its agent does not drain.
     stack.hostList.setHosts([{id: 'engine-1', state: 'leaving'}]);
     await waitUntil(
       async () => (await readUsable(stack))['engine-1'] === false,
@@ -93,7 +94,7 @@
     await stack.close();
   });
 
-  it('finishes the request in flight before it exits', async () => {
+  it('completes the stream in flight before the gate stops', async () => {
     // Guards against cutting a stream when its gate is replaced.
     let drained: Promise<void> | undefined;
     const result = await streamCompletion(stack.gateUrl, long, auth, count => {
@@ -105,13 +106,13 @@
   });
 });
 
-/** Time for which a suspended process runs nothing, in ms. */
-const FROZEN_MS = 50;
+/** Time for which `freezeProcess` blocks the process, in ms. */
+const FREEZE_MS = 50;
 
-/** Blocks like a suspended process: no reads, no timers. */
+/** Blocks the event loop as a suspended process does: no reads, no timers. */
 function freezeProcess(): void {
   const lock = new Int32Array(new SharedArrayBuffer(4));
-  Atomics.wait(lock, 0, 0, FROZEN_MS);
+  Atomics.wait(lock, 0, 0, FREEZE_MS);
 }
 
 function renderRequest(maxTokens: number, prompt = 's'): string {
@@ -123,17 +124,20 @@
   );
 }
 
-/** What a caller reads of two answers on one connection. */
-interface TwoAnswers {
+/** Response heads read on one connection, and whether it was reset. */
+interface ConnectionResult {
   readonly heads: readonly string[];
   readonly hasReset: boolean;
 }
 
 /**
- * Sends a request, and after its answer another one to a gate that is told to
- * stop before it reads it.
+ * Sends a request and, after its answer, a second request that the gate reads
+ * only after it was told to stop.
  */
-function askAroundStop(stack: Stack, prompt: string): Promise<TwoAnswers> {
+function sendRequestDuringStop(
+  stack: Stack,
+  prompt: string,
+): Promise<ConnectionResult> {
   const {port, hostname} = new URL(stack.gateUrl);
   const heads: string[] = [];
   let hasReset = false;
@@ -154,10 +158,10 @@
   });
 }
 
-/** Length of a prompt that arrives in many pieces, in characters. */
-const LONG_PROMPT = 8_000_000;
+/** Length of a prompt that the gate receives in many reads, in characters. */
+const LONG_PROMPT_CHARS = 8_000_000;
 
-describe('stop of a gate', () => {
+describe('gate that is told to stop', () => {
   let stack: Stack;
   beforeEach(async () => {
     stack = await startStack({engines: 1});
@@ -166,25 +170,26 @@
     await stack.close();
   });
 
-  it('answers what had arrived, and each answer ends its connection', async () => {
-    // Guards against connections that a stop resets over an unread request.
-    const {heads, hasReset} = await askAroundStop(stack, 's');
+  it('answers a request that has already arrived with status 503 and closes its connection', async () => {
+    // Guards against a connection that is reset on stop because a request on it
+    // is unread.
+    const {heads, hasReset} = await sendRequestDuringStop(stack, 's');
     expect(hasReset).toEqual(false);
     expect(heads.map(head => head.slice(9, 12))).toEqual(['200', '503']);
     expect(/^connection: close/im.test(heads[1])).toEqual(true);
   });
 
-  it('reads a long prompt to its end before it refuses it', async () => {
-    // Guards against a refusal that its caller loses, since the connection is
-    // reset over the unread rest of the body.
-    const prompt = 's'.repeat(LONG_PROMPT);
-    const {heads, hasReset} = await askAroundStop(stack, prompt);
+  it('reads the whole body of a long prompt before it refuses the request', async () => {
+    // Guards against a refusal that does not reach its caller because the
+    // connection is reset while part of the body is unread.
+    const prompt = 's'.repeat(LONG_PROMPT_CHARS);
+    const {heads, hasReset} = await sendRequestDuringStop(stack, prompt);
     expect(hasReset).toEqual(false);
     expect(heads.map(head => head.slice(9, 12))).toEqual(['200', '503']);
   });
 });
 
-describe('stop of a gate beside a request', () => {
+describe('gate that is told to stop during a request', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1});
@@ -193,8 +198,8 @@
     await stack.close();
   });
 
-  it('tells the caller that its connection ends with the answer', async () => {
-    // Guards against callers that reuse a connection of a gate that has ended.
+  it('sends Connection: close with the answer', async () => {
+    // Guards against callers that reuse a connection to a gate that has stopped.
     const {port, hostname} = new URL(stack.gateUrl);
     const text = await new Promise<string>(resolve => {
       let received = '';
--- a/packages/nutmeggauge/src/e2e/fencing.test.ts
+++ b/packages/nutmeggauge/src/e2e/fencing.test.ts
@@ -9,7 +9,7 @@
 import {waitUntil} from '../test/stack.js';
 import type {ConfigServiceStandIn, EngineStandIn} from '@nutmeggauge/standins';
 
-const recordOf = (model: string) => ({
+const buildRecord = (model: string) => ({
   schemaVersion: 1,
   accounts: [],
   pools: [
@@ -24,7 +24,7 @@
 });
 
 for (const fencing of ['refuse', 'ignore'] as const) {
-  describe(`orders to an engine that would ${fencing} old fences`, () => {
+  describe(`orders to an engine in fencing mode ${fencing}`, () => {
     let config: ConfigServiceStandIn;
     let engine: EngineStandIn;
     before(async () => {
@@ -51,11 +51,12 @@
       return {counters, watcher, orders};
     };
 
-    it('are not turned back by an agent that was paused and wakes late', async () => {
-      // Guards against an old agent that wakes and orders the old model.
-      config.publish(recordOf('m1'));
+    it('are not reverted by an agent that resumes after a pause with an old record', async () => {
+      // Guards against a replaced agent that resumes after a pause and orders
+      // the model of its old record.
+      config.publish(buildRecord('m1'));
       const paused = await startAgentOrders();
-      config.publish(recordOf('m2'));
+      config.publish(buildRecord('m2'));
       const replacement = await startAgentOrders();
       await replacement.orders.runRound();
       await paused.orders.runRound();
@@ -63,9 +64,9 @@
       expect(engine.orders.applied.map(order => order.value)).toEqual(['m2']);
     });
 
-    it('are withheld while the agent cannot tell whether its record is the newest', async () => {
-      // Guards against orders based on a record that cannot be confirmed.
-      config.publish(recordOf('m3'));
+    it('are withheld while the agent cannot confirm that its record is the newest', async () => {
+      // Guards against orders based on a record that may be out of date.
+      config.publish(buildRecord('m3'));
       const agent = await startAgentOrders();
       config.setMode('stale');
       await agent.orders.runRound();
--- a/packages/nutmeggauge/src/e2e/foreign-callers.test.ts
+++ b/packages/nutmeggauge/src/e2e/foreign-callers.test.ts
@@ -4,10 +4,13 @@
 import {TEST_AUTH, TEST_KEY, postJson, startStack} from '../test/stack.js';
 import type {Stack} from '../test/stack.js';
 
-/** Silence after which a request counts as unanswered, in ms. */
-const SILENT_MS = 2000;
+/** Time without data after which `sendRaw` closes its connection, in ms. */
+const IDLE_TIMEOUT_MS = 2000;
 
-/** Sends bytes; resolves with the answer when the connection is closed. */
+/**
+ * Sends bytes and resolves with the received text once the connection is
+ * closed; resets the connection after `resetAfterMs` if given.
+ */
 function sendRaw(
   port: number,
   bytes: string,
@@ -23,16 +26,16 @@
     socket.on('data', chunk => (text += String(chunk)));
     socket.on('error', () => undefined);
     socket.on('close', () => resolve(text));
-    socket.setTimeout(SILENT_MS, () => socket.destroy());
+    socket.setTimeout(IDLE_TIMEOUT_MS, () => socket.destroy());
   });
 }
 
-describe('callers that do not keep to the protocol', () => {
+describe('gate with callers that violate the HTTP protocol', () => {
   let stack: Stack;
-  // The runner only warns of errors that begin in a hook.
-  const uncaught: unknown[] = [];
+  // The test runner only warns about uncaught errors that originate in a hook.
+  const uncaughtErrors: unknown[] = [];
   const recordError = (error: unknown) => {
-    uncaught.push(error);
+    uncaughtErrors.push(error);
   };
   before(async () => {
     process.on('uncaughtException', recordError);
@@ -45,7 +48,7 @@
     process.off('unhandledRejection', recordError);
   });
 
-  /** The next caller is served, and no request stays counted. */
+  /** Checks that the gate serves a request and that no error was uncaught. */
   async function checkServing(): Promise<void> {
     const {status} = await postJson(
       `${stack.gateUrl}/v1/completions`,
@@ -53,12 +56,12 @@
       TEST_AUTH,
     );
     expect(status).toEqual(200);
-    expect(uncaught).toEqual([]);
+    expect(uncaughtErrors).toEqual([]);
   }
 
-  it('end no gate by leaving amid a body', async () => {
-    // Guards against a caller that disconnects within its body, which ended the
-    // gate.
+  it('keeps serving after callers reset their connections in the middle of a body', async () => {
+    // Guards against a gate that crashes when a caller disconnects in the middle
+    // of a request body.
     const head =
       'POST /v1/completions HTTP/1.1\r\nHost: a\r\n' +
       `Authorization: Bearer ${TEST_KEY}\r\nContent-Length: 100\r\n\r\n{"model"`;
@@ -73,8 +76,8 @@
     await checkServing();
   });
 
-  it('end no gate by a path that is no address', async () => {
-    // Guards against an invalid URL, which ended the gate.
+  it('answers an invalid request path with status 400, 404 or 405 and keeps serving', async () => {
+    // Guards against a gate that crashes on an invalid URL.
     for (const path of ['//', 'http://[', 'http://a:99999/']) {
       for (const method of ['GET', 'POST']) {
         const bytes = `${method} ${path} HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer ${TEST_KEY}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n`;
--- a/packages/nutmeggauge/src/e2e/settings.test.ts
+++ b/packages/nutmeggauge/src/e2e/settings.test.ts
@@ -27,8 +27,8 @@
   return {status: result.status, stderr: result.stderr};
 }
 
-describe('settings files', () => {
-  it('gate: a bad port is named in the error and the exit is non-zero', () => {
+describe('settings file validation', () => {
+  it('names the field and exits with status 2 when the port of a gate is not a number', () => {
     const result = runWithSettings(
       gateBin,
       'id: g\nzone: az-1\nlisten: {port: "eighty"}\nconfigService: {url: "http://127.0.0.1:1"}\n',
@@ -37,7 +37,7 @@
     expect(result.stderr).toInclude('listen.port');
   });
 
-  it('agent: a missing target is named in the error', () => {
+  it('names the field and exits with status 2 when an agent has no target', () => {
     const result = runWithSettings(
       agentBin,
       'id: a\nzone: az-1\nlisten: {port: 0}\n',
@@ -46,7 +46,7 @@
     expect(result.stderr).toInclude('target');
   });
 
-  it('gate: a file that is not YAML says so', () => {
+  it('reports invalid YAML and exits with status 2', () => {
     const result = runWithSettings(gateBin, 'id: [unclosed\n');
     expect(result.status).toEqual(2);
     expect(result.stderr).toInclude('not valid YAML');
--- a/packages/nutmeggauge/src/e2e/streams.test.ts
+++ b/packages/nutmeggauge/src/e2e/streams.test.ts
@@ -11,16 +11,20 @@
 import {startFrozenAgent} from '../test/frozen-agent.js';
 import type {Stack} from '../test/stack.js';
 
-const LETTERS = ['a', 'b'];
-const quote = {model: 'chat', prompt: 'r'.repeat(4000), max_tokens: 80};
+const TOKEN_LETTERS = ['a', 'b'];
+const completionBody = {
+  model: 'chat',
+  prompt: 'r'.repeat(4000),
+  max_tokens: 80,
+};
 
-/** Streams an answer and kills its engine after a few pieces. */
-async function streamAndKill(stack: Stack) {
+/** Streams an answer and kills its engine after the fifth chunk. */
+async function streamAndKillEngine(stack: Stack) {
   let busy = -1;
   let killed: Promise<void> | undefined;
   const result = await streamCompletion(
     stack.gateUrl,
-    quote,
+    completionBody,
     TEST_AUTH,
     count => {
       if (count !== 5) return;
@@ -29,31 +33,31 @@
     },
   );
   await killed;
-  return {result, letter: LETTERS[busy]};
+  return {result, letter: TOKEN_LETTERS[busy]};
 }
 
-describe('stream whose engine dies, where engines can resume', () => {
+describe('stream whose engine dies in a resumable pool', () => {
   let stack: Stack;
   before(async () => {
-    stack = await startStack({engine: i => ({tokenLetter: LETTERS[i]})});
+    stack = await startStack({engine: i => ({tokenLetter: TOKEN_LETTERS[i]})});
   });
   after(async () => {
     await stack.close();
   });
 
-  it('goes on in the wording it was begun in', async () => {
-    // Guards against an answer that mixes two runs.
-    const {result, letter} = await streamAndKill(stack);
+  it('is resumed on another engine and continues the text of the first one', async () => {
+    // Guards against an answer that mixes the tokens of two runs.
+    const {result, letter} = await streamAndKillEngine(stack);
     expect(result.done).toEqual(true);
     expect(result.text).toEqual(renderWholeAnswer(80, letter));
   });
 });
 
-describe('stream whose engine dies, where engines cannot resume', () => {
+describe('stream whose engine dies in a pool that is not resumable', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({
-      engine: i => ({tokenLetter: LETTERS[i]}),
+      engine: i => ({tokenLetter: TOKEN_LETTERS[i]}),
       resumable: false,
     });
   });
@@ -61,15 +65,15 @@
     await stack.close();
   });
 
-  it('ends with an honest error and no piece of a second run', async () => {
-    const {result, letter} = await streamAndKill(stack);
+  it('ends with outcome_unknown and contains no tokens of a second run', async () => {
+    const {result, letter} = await streamAndKillEngine(stack);
     expect(result.done).toEqual(false);
     expect(result.error?.type).toEqual('outcome_unknown');
     expect(renderWholeAnswer(80, letter).startsWith(result.text)).toEqual(true);
   });
 });
 
-describe('agent that froze after its heartbeat', () => {
+describe('agent that is frozen although its heartbeats arrive', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1, routing: 'round-robin'});
@@ -78,8 +82,8 @@
     await stack.close();
   });
 
-  it('does not hold a repeatable request: it is taken elsewhere', async () => {
-    // Guards against waiting for a suspended host whose heartbeats look recent.
+  it('does not delay repeatable requests, which are sent to another agent', async () => {
+    // Guards against waiting for a suspended host whose last heartbeats are recent.
     const frozen = await startFrozenAgent();
     const version = publishChatTargets(stack, targets => [
       {id: 'frozen', agent: `127.0.0.1:${frozen.port}`, zone: 'az-1'},
@@ -88,7 +92,11 @@
     await waitForGate(stack.gate, version);
     const answers = await Promise.all(
       [1, 2, 3].map(() =>
-        streamCompletion(stack.gateUrl, {...quote, max_tokens: 3}, TEST_AUTH),
+        streamCompletion(
+          stack.gateUrl,
+          {...completionBody, max_tokens: 3},
+          TEST_AUTH,
+        ),
       ),
     );
     frozen.close();
--- a/packages/nutmeggauge/src/e2e/subset.test.ts
+++ b/packages/nutmeggauge/src/e2e/subset.test.ts
@@ -3,7 +3,7 @@
 import {countRuns, placeOrder, readUsable, startStack} from '../test/stack.js';
 import type {Stack} from '../test/stack.js';
 
-describe('gate that links to a subset of each pool', () => {
+describe('gate that connects to a subset of each pool', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1, plain: 4, subsetSize: 1});
@@ -12,7 +12,7 @@
     await stack.close();
   });
 
-  it('reaches the home of every key all the same', async () => {
+  it('sends the requests of every key to its home, also when the home is outside the subset', async () => {
     // Guards against a second home for keys whose home is outside the subset.
     const linked = Object.keys(await readUsable(stack));
     expect(linked.filter(id => id.startsWith('plain-')).length).toEqual(1);
