--- a/packages/nutmeggauge/src/cluster/cluster-spec.ts
+++ b/packages/nutmeggauge/src/cluster/cluster-spec.ts
@@ -1,51 +1,51 @@
-/** What a local cluster is to be, and the targets that it then has. */
+/** Specification of a local cluster and of its targets. */
 
-/** Shape of a local cluster. */
+/** Size, placement and settings of a local cluster. */
 export interface ClusterSpec {
-  /** Folder for settings files and logs. */
+  /** Folder for the settings files and logs of all processes. */
   readonly runDir: string;
   /**
-   * Loopback address of every process.
+   * Loopback address that every process listens on.
    * @default '127.0.0.1'
    */
   readonly host?: string;
-  /** Engines, each with its agent. */
+  /** Number of engine stand-ins; each gets its own agent. */
   readonly engines: number;
-  /** Plain services, each with its agent. */
+  /** Number of plain service stand-ins; each gets its own agent. */
   readonly plainServices: number;
-  /** Gates. */
+  /** Number of gates. */
   readonly gates: number;
   /**
-   * Zones that targets and gates are spread over.
+   * Availability zones that targets and gates are assigned to in turn.
    * @default ['az-1', 'az-2', 'az-3']
    */
   readonly zones?: readonly string[];
   /**
-   * Settings of every gate, over the defaults.
+   * Settings of every gate; override those that the cluster writes.
    * @default {}
    */
   readonly gateSettings?: Readonly<Record<string, unknown>>;
   /**
-   * Settings of every agent, over the defaults.
+   * Settings of every agent; override those that the cluster writes.
    * @default {}
    */
   readonly agentSettings?: Readonly<Record<string, unknown>>;
   /**
-   * Options of the engine stand-ins.
+   * Prefill speed of the engine stand-ins.
    * @default {prefillRate: 400_000, chunkTokens: 16_384}
    */
-  readonly engine?: EngineFigures;
+  readonly engine?: EngineSpeed;
 }
 
-/** Speed of the engine stand-ins of a cluster. */
-export interface EngineFigures {
-  /** Prompt tokens prefilled a second by each engine. */
+/** Prefill speed of the engine stand-ins of a cluster. */
+export interface EngineSpeed {
+  /** Prompt tokens that each engine prefills per second. */
   readonly prefillRate: number;
-  /** Most prompt tokens read in one step. */
+  /** Maximum number of prompt tokens that an engine prefills in one step. */
   readonly chunkTokens: number;
 }
 
-/** A target of the cluster as the configuration record names it. */
+/** Target of a local cluster, with the addresses of its agent and stand-in. */
 export interface ClusterTarget {
   readonly id: string;
   readonly kind: 'engine' | 'plain';
--- a/packages/nutmeggauge/src/cluster/launch-plan.ts
+++ b/packages/nutmeggauge/src/cluster/launch-plan.ts
@@ -1,6 +1,6 @@
 /**
- * What a local cluster starts: for each process its script, arguments and
- * settings file, with every address settled before the first one starts.
+ * Plans the processes of a local cluster: the script, arguments and settings
+ * file of each, with all addresses assigned before the first process starts.
  */
 import {writeFileSync} from 'node:fs';
 import {join} from 'node:path';
@@ -8,33 +8,38 @@
 import {stringify as stringifyYaml} from 'yaml';
 import type {ClusterSpec, ClusterTarget} from './cluster-spec.js';
 
-/** One process to start. */
+/** Command line, settings file and stop order of one process of a cluster. */
 export interface Launch {
   readonly name: string;
   readonly script: string;
   readonly args: readonly string[];
-  /** Gates (0) stop first, then agents (1), then stand-ins (2), so nothing is cut off. */
+  /**
+   * Position in the order of shutdown: gates (0) stop first, then agents (1),
+   * then stand-ins (2), so that requests in flight can finish.
+   */
   readonly stopRank: 0 | 1 | 2;
-  /** Writes the settings file; absent for stand-ins. */
-  readonly writeSettings?: (life: {readonly isFirstStart: boolean}) => void;
+  /** Writes the settings file; absent for stand-ins, which have none. */
+  readonly writeSettings?: (startInfo: {
+    readonly isFirstStart: boolean;
+  }) => void;
 }
 
-/** Every process of a cluster, and where they are reached. */
+/** All processes of a cluster and their addresses. */
 export interface ClusterLayout {
   readonly launches: readonly Launch[];
   readonly targets: readonly ClusterTarget[];
   readonly gateUrls: readonly string[];
-  /** Administration APIs of the gates. */
+  /** Base URLs of the administration APIs of the gates. */
   readonly adminUrls: readonly string[];
   readonly configUrl: string;
 }
 
-/** Where a cluster listens that names no host. */
+/** Host for clusters whose spec names none. */
 const DEFAULT_HOST = '127.0.0.1';
 
 const DEFAULT_ZONES = ['az-1', 'az-2', 'az-3'];
 const DEFAULT_ENGINE = {prefillRate: 400_000, chunkTokens: 16_384};
-/** Age of the host list that gates read, in ms. */
+/** Age of the host list that the stand-in serves, in ms. */
 const HOST_LIST_LAG_MS = 500;
 const HOST_LIST_POLL_MS = 500;
 const CONFIG_WAIT_MS = 20_000;
@@ -48,9 +53,9 @@
 );
 
 /**
- * Lays out the processes of `spec` over `ports`: two for the platform, two
- * for each target (stand-in and agent), three for each gate (callers, relay,
- * administration).
+ * Plans the processes of `spec` on `ports`: two for the platform
+ * (configuration service and host list), two for each target (stand-in and
+ * agent) and three for each gate (callers, relay and administration).
  *
  * @example
  * planLaunches(spec, await findFreePorts(2 + targets * 2 + spec.gates * 3)).launches;
@@ -189,7 +194,7 @@
   spec: ClusterSpec,
   index: number,
   port: number,
-  shared: {
+  endpoints: {
     readonly configUrl: string;
     readonly hostListUrl: string;
     readonly relayPorts: readonly number[];
@@ -210,16 +215,16 @@
           id: name,
           zone: pickZone(spec, index),
           listen: {host: readHost(spec), port},
-          configService: {url: shared.configUrl, waitMs: CONFIG_WAIT_MS},
-          hostList: {url: shared.hostListUrl, pollMs: HOST_LIST_POLL_MS},
-          admin: {listen: {host: readHost(spec), port: shared.adminPort}},
+          configService: {url: endpoints.configUrl, waitMs: CONFIG_WAIT_MS},
+          hostList: {url: endpoints.hostListUrl, pollMs: HOST_LIST_POLL_MS},
+          admin: {listen: {host: readHost(spec), port: endpoints.adminPort}},
           relay: {
-            listen: {host: readHost(spec), port: shared.relayPorts[index]},
-            peers: shared.relayPorts
+            listen: {host: readHost(spec), port: endpoints.relayPorts[index]},
+            peers: endpoints.relayPorts
               .filter((_port, i) => i !== index)
               .map(peerPort => `${readHost(spec)}:${peerPort}`),
           },
-          // No balancer stands before a local gate that must notice its drain.
+          // No load balancer has to notice the drain of a local gate.
           drainNoticeMs: 0,
           ...spec.gateSettings,
         }),
--- a/packages/nutmeggauge/src/cluster/local-cluster.ts
+++ b/packages/nutmeggauge/src/cluster/local-cluster.ts
@@ -1,7 +1,8 @@
 /**
- * A whole deployment on loopback: configuration service, host list, engines
- * and plain services (stand-ins), an agent beside each target, and gates,
- * each its own process with its own YAML settings and log file.
+ * A complete deployment on loopback: stand-ins for the configuration service,
+ * the host list, engines and plain services, an agent for each target, and
+ * gates. Each runs as a process with its own log file; agents and gates read
+ * YAML settings files.
  */
 import {mkdirSync} from 'node:fs';
 import {join} from 'node:path';
@@ -14,11 +15,11 @@
 import type {ClusterLayout, Launch} from './launch-plan.js';
 import type {ChildHandle} from './process.js';
 
-/** How often readiness is asked for, in ms. */
+/** Interval between readiness checks, in ms. */
 const READY_POLL_MS = 50;
 
-/** Processes that are started at the same time. */
-const START_BATCH = 8;
+/** Maximum number of processes that start concurrently. */
+const START_BATCH_SIZE = 8;
 
 interface GateState {
   readonly version: number;
@@ -26,14 +27,14 @@
 }
 
 /**
- * A running local cluster.
+ * A local cluster whose processes can be signalled, killed and restarted.
  *
  * @example
  * const cluster = await startLocalCluster({runDir: 'runs/demo', engines: 3, plainServices: 1, gates: 1});
  */
 export class LocalCluster {
   private readonly children = new Map<string, ChildHandle>();
-  /** Restarts under way, by name. */
+  /** Restarts in progress, by process name. */
   private readonly restarts = new Map<string, Promise<void>>();
   private lastVersion = 0;
 
@@ -50,12 +51,12 @@
     return this.layout.targets;
   }
 
-  /** URL of the configuration service stand-in. */
+  /** Base URL of the configuration service stand-in. */
   get configUrl(): string {
     return this.layout.configUrl;
   }
 
-  /** Process ids of the running children, by name. */
+  /** Lists the ids of the running processes by process name. */
   listPids(): ReadonlyMap<string, number> {
     return new Map(
       [...this.children]
@@ -64,23 +65,23 @@
     );
   }
 
-  /** True while a process runs and has not been told to end. */
+  /** Tells whether a process runs and was sent no SIGTERM or SIGKILL. */
   isStaying(name: string): boolean {
     return this.children.get(name)?.isStaying === true;
   }
 
-  /** Starts every process, stand-ins before agents before gates. */
+  /** Starts every process: stand-ins first, then agents, then gates. */
   async start(): Promise<void> {
     for (const rank of [2, 1, 0]) {
       const group = this.layout.launches.filter(l => l.stopRank === rank);
-      for (let i = 0; i < group.length; i += START_BATCH) {
-        const batch = group.slice(i, i + START_BATCH);
+      for (let i = 0; i < group.length; i += START_BATCH_SIZE) {
+        const batch = group.slice(i, i + START_BATCH_SIZE);
         await Promise.all(batch.map(launch => this.launch(launch)));
       }
     }
   }
 
-  /** Publishes a configuration record; resolves with its version. */
+  /** Publishes a configuration record and returns its version. */
   async publish(record: object): Promise<number> {
     const response = await request(`${this.configUrl}/admin/publish`, {
       method: 'POST',
@@ -91,10 +92,15 @@
     return this.lastVersion;
   }
 
-  /** Waits until every gate has the newest record and a link to every target. */
+  /**
+   * Waits until every gate has applied the newest published record and can use
+   * all of its targets.
+   *
+   * @throws ClusterError when this takes longer than `timeoutMs`.
+   */
   async waitUntilReady(timeoutMs = 30_000): Promise<void> {
-    const giveUpAt = Date.now() + timeoutMs;
-    while (Date.now() < giveUpAt) {
+    const timeoutAt = Date.now() + timeoutMs;
+    while (Date.now() < timeoutAt) {
       const states = await Promise.all(
         this.layout.adminUrls.map(readGateState),
       );
@@ -103,16 +109,16 @@
     }
     throw new ClusterError(
       {info: {runDir: this.spec.runDir}},
-      `cluster not ready within ${timeoutMs} ms; see ${this.spec.runDir}`,
+      `cluster was not ready within ${timeoutMs} ms; see the logs in ${this.spec.runDir}`,
     );
   }
 
-  /** Sends a signal to one process. */
+  /** Sends a signal to one process if it runs. */
   signal(name: string, signal: NodeJS.Signals): void {
     this.children.get(name)?.signal(signal);
   }
 
-  /** Kills one process as a power loss would, and waits for its end. */
+  /** Kills one process as a power loss would, and waits for its exit. */
   async kill(name: string): Promise<void> {
     const child = this.children.get(name);
     child?.signal('SIGKILL');
@@ -120,8 +126,10 @@
   }
 
   /**
-   * Starts a process again once it has ended, as a new life: no agent
-   * bootstraps twice. Overlapping restarts of one process are one.
+   * Starts a process again once it has exited; does nothing if it runs and was
+   * not told to stop. An agent starts without `bootstrap` for its ledger, which
+   * applies to the first start only. Concurrent calls for one process share one
+   * restart.
    */
   restart(name: string): Promise<void> {
     const running = this.restarts.get(name);
@@ -133,7 +141,10 @@
     return restart;
   }
 
-  /** SIGTERM to every process (gates first), then waits for all to exit. */
+  /**
+   * Sends SIGTERM to all gates, then to all agents, then to all stand-ins, and
+   * waits for each group to exit before the next.
+   */
   async stop(): Promise<void> {
     for (const rank of [0, 1, 2]) {
       const group = this.layout.launches
@@ -149,9 +160,9 @@
 
   private async runRestart(name: string): Promise<void> {
     const launch = this.layout.launches.find(l => l.name === name);
-    const former = this.children.get(name);
-    if (launch === undefined || former?.isStaying) return;
-    await former?.waitForExit();
+    const previous = this.children.get(name);
+    if (launch === undefined || previous?.isStaying) return;
+    await previous?.waitForExit();
     launch.writeSettings?.({isFirstStart: false});
     await this.launch(launch, false);
   }
@@ -174,9 +185,10 @@
 }
 
 /**
- * Starts a local cluster and returns once every process listens.
+ * Starts a local cluster and returns once every process listens; stops the
+ * cluster again if a process fails to start.
  *
- * @throws ClusterError when a process does not start.
+ * @throws ClusterError when a process does not start or ports are exhausted.
  * @example
  * const cluster = await startLocalCluster({runDir: 'runs/demo', engines: 3, plainServices: 1, gates: 1});
  */
--- a/packages/nutmeggauge/src/cluster/ports.test.ts
+++ b/packages/nutmeggauge/src/cluster/ports.test.ts
@@ -2,15 +2,15 @@
 import {expect} from 'earl';
 import {findFreePorts} from './ports.js';
 
-/** First ephemeral port of Linux. */
-const FIRST_LENT = 32_768;
+/** First port of the default ephemeral range of Linux. */
+const FIRST_EPHEMERAL_PORT = 32_768;
 
-describe('ports of a local cluster', () => {
-  it('are none that the system lends to others meanwhile', async () => {
-    // Guards against a port that is lent to an outgoing connection before its
-    // process starts.
+describe('findFreePorts', () => {
+  it('returns distinct ports below the ephemeral range', async () => {
+    // Guards against a port that the system assigns to an outgoing connection
+    // before the process for which it was chosen has started.
     const ports = await findFreePorts(40);
     expect(new Set(ports).size).toEqual(40);
-    expect(ports.filter(port => port >= FIRST_LENT)).toEqual([]);
+    expect(ports.filter(port => port >= FIRST_EPHEMERAL_PORT)).toEqual([]);
   });
 });
--- a/packages/nutmeggauge/src/cluster/ports.ts
+++ b/packages/nutmeggauge/src/cluster/ports.ts
@@ -1,24 +1,26 @@
 /**
- * Free loopback ports for a local cluster, picked before the processes
- * start so that every settings file can name its peers.
+ * Free loopback ports for a local cluster, chosen before its processes start
+ * so that every settings file can contain the addresses of the other processes.
  */
 import {createServer} from 'node:net';
 import {ClusterError} from '@nutmeggauge/core';
 import type {Server} from 'node:net';
 
 /**
- * Ports to choose from: above well-known services and below ephemeral ports,
- * which may be taken before their process starts.
+ * Range of the ports to choose from: above those of common services and below
+ * the ephemeral ports, which the system may assign to outgoing connections
+ * before the process starts.
  */
 const FIRST_PORT = 10_240;
 const LAST_PORT = 32_000;
 
-/** Most draws before the search fails. */
-const MAX_DRAWS = 200;
+/** Maximum number of attempts beyond the number of ports to find. */
+const MAX_EXTRA_ATTEMPTS = 200;
 
 /**
  * Finds `count` distinct free TCP ports of a loopback host.
  *
+ * @throws ClusterError when too few random ports are free.
  * @example
  * const [configPort, gatePort] = await findFreePorts(2);
  */
@@ -28,14 +30,14 @@
 ): Promise<number[]> {
   const servers: Server[] = [];
   const ports: number[] = [];
-  // Held until all are found, so that no port is found twice.
-  for (let draw = 0; ports.length < count; draw++) {
-    if (draw > count + MAX_DRAWS)
-      throw new ClusterError({info: {count}}, 'no free ports');
+  // Servers occupy their ports until all are found, so that none is found twice.
+  for (let attemptIndex = 0; ports.length < count; attemptIndex++) {
+    if (attemptIndex > count + MAX_EXTRA_ATTEMPTS)
+      throw new ClusterError({info: {count}}, 'not enough free TCP ports');
     const port =
       FIRST_PORT + Math.floor(Math.random() * (LAST_PORT - FIRST_PORT));
     const server = createServer();
-    if (!(await isFree(server, host, port))) continue;
+    if (!(await tryListen(server, host, port))) continue;
     servers.push(server);
     ports.push(port);
   }
@@ -45,8 +47,12 @@
   return ports;
 }
 
-/** Listens on `port` if nobody else does. */
-function isFree(server: Server, host: string, port: number): Promise<boolean> {
+/** Listens on `port`; resolves with false if that fails. */
+function tryListen(
+  server: Server,
+  host: string,
+  port: number,
+): Promise<boolean> {
   return new Promise(resolve => {
     server.on('error', () => resolve(false));
     server.listen(port, host, () => resolve(true));
--- a/packages/nutmeggauge/src/cluster/process.ts
+++ b/packages/nutmeggauge/src/cluster/process.ts
@@ -1,6 +1,7 @@
 /**
- * One child process of a local cluster: its stderr log goes to a file, and
- * `start` resolves once the child logs that it is listening.
+ * Child processes of a local cluster: the log that a child writes to stderr is
+ * copied to a file, and `startChild` resolves once the log says that the child
+ * listens.
  */
 import {spawn} from 'node:child_process';
 import {createWriteStream} from 'node:fs';
@@ -9,14 +10,14 @@
 import type {ChildProcess} from 'node:child_process';
 
 /**
- * A child process running one nutmeggauge binary or stand-in.
+ * A child process that runs a gate, an agent or a stand-in.
  *
  * @example
  * const child = await startChild('gate-1', gateBin, ['--config', 'gate.yaml'], 'runs/x/gate-1.log');
  */
 export class ChildHandle {
   private readonly exited: Promise<number | null>;
-  private isEnding = false;
+  private isTerminating = false;
 
   constructor(
     readonly name: string,
@@ -27,34 +28,34 @@
     );
   }
 
-  /** True while the process runs. */
+  /** True until the process has exited. */
   get isRunning(): boolean {
     return this.child.exitCode === null && this.child.signalCode === null;
   }
 
-  /** True while the process runs and has not been told to end. */
+  /** True while the process runs and was sent no SIGTERM or SIGKILL. */
   get isStaying(): boolean {
-    return this.isRunning && !this.isEnding;
+    return this.isRunning && !this.isTerminating;
   }
 
-  /** Sends a signal; SIGTERM asks for a graceful drain. */
+  /** Sends a signal if the process runs; SIGTERM requests a graceful drain. */
   signal(signal: NodeJS.Signals): void {
     if (!this.isRunning) return;
-    if (signal === 'SIGTERM' || signal === 'SIGKILL') this.isEnding = true;
+    if (signal === 'SIGTERM' || signal === 'SIGKILL') this.isTerminating = true;
     this.child.kill(signal);
   }
 
-  /** Resolves with the exit code once the process has ended. */
+  /** Resolves once the process has exited; with null if a signal ended it. */
   waitForExit(): Promise<number | null> {
     return this.exited;
   }
 }
 
 /**
- * Starts `node script args…`, logging to `logPath`, and waits for a log line
- * whose event ends in `_listening` (at most `timeoutMs`).
+ * Starts `node script args…`, appends its log to `logPath`, and waits at most
+ * `timeoutMs` for a log line whose event ends in `_listening`.
  *
- * @throws ClusterError when the child exits or stays silent past the timeout.
+ * @throws ClusterError when the child exits first or the timeout passes.
  */
 export function startChild(
   name: string,
@@ -65,7 +66,7 @@
 ): Promise<ChildHandle> {
   const child = spawn(process.execPath, [script, ...args], {
     stdio: ['ignore', 'ignore', 'pipe'],
-    // Readiness and executions are read from the children's logs.
+    // Readiness and executions are read from log lines of level info.
     env: {...process.env, NUTMEGGAUGE_LOG: 'info'},
   });
   const handle = new ChildHandle(name, child);
@@ -77,7 +78,7 @@
         reject(
           new ClusterError(
             {info: {name}},
-            `${name} did not start within ${timeoutMs} ms`,
+            `${name} did not listen within ${timeoutMs} ms`,
           ),
         ),
       timeoutMs,
@@ -87,7 +88,7 @@
       reject(
         new ClusterError(
           {info: {name, code}},
-          `${name} exited with ${code} before listening; see ${logPath}`,
+          `${name} exited with ${code} before it was listening; see ${logPath}`,
         ),
       );
     });
