--- a/packages/nutmeggauge/src/cli/bad-words.test.ts
+++ b/packages/nutmeggauge/src/cli/bad-words.test.ts
@@ -12,94 +12,143 @@
 
 const CLI_BIN = fileURLToPath(new URL('../bin.js', import.meta.url));
 
-/** Longest run of a command that does nothing, in ms. */
-const RUN_LIMIT_MS = 30_000;
+/** Timeout of a command that only reports an error or a log, in ms. */
+const COMMAND_TIMEOUT_MS = 30_000;
 
-function runCommand(words: readonly string[], cwd?: string) {
-  return spawnSync(process.execPath, [CLI_BIN, ...words], {
+function runCommand(cliArgs: readonly string[], cwd?: string) {
+  return spawnSync(process.execPath, [CLI_BIN, ...cliArgs], {
     cwd,
     encoding: 'utf8',
-    timeout: RUN_LIMIT_MS,
+    timeout: COMMAND_TIMEOUT_MS,
   });
 }
 
-/** Checks that a command ends with `status` and one line that says `what`. */
-function checkOneLine(
-  words: readonly string[],
+/**
+ * Checks that a command exits with `status` and prints nothing but one line on
+ * stderr that includes `expectedText`.
+ */
+function checkErrorLine(
+  cliArgs: readonly string[],
   status: number,
-  what: string,
+  expectedText: string,
 ): void {
-  const result = runCommand(words);
-  expect({words, status: result.status}).toEqual({words, status});
-  expect(result.stderr).toInclude(what);
+  const result = runCommand(cliArgs);
+  expect({cliArgs, status: result.status}).toEqual({cliArgs, status});
+  expect(result.stderr).toInclude(expectedText);
   expect(result.stderr.startsWith('nutmeggauge: ')).toEqual(true);
   expect(result.stderr.trimEnd().split('\n').length).toEqual(1);
   expect(result.stdout).toEqual('');
 }
 
-const LOG = writeLog([buildLine(0, 'gate_started'), buildEnded(500, 'known')]);
+const LOG_FILE = writeLog([
+  buildLine(0, 'gate_started'),
+  buildEnded(500, 'known'),
+]);
 
-describe('explain of an unknown request', () => {
-  it('says so and ends with 1', () => {
-    // Guards against an empty answer for a mistyped id.
-    checkOneLine(['explain', 'unknown', LOG], 1, 'the request unknown');
+describe('nutmeggauge explain', () => {
+  it('reports an unknown request id in one line and exits with status 1', () => {
+    // Guards against empty output for a mistyped request id.
+    checkErrorLine(['explain', 'unknown', LOG_FILE], 1, 'the request unknown');
   });
 
-  it('prints a known one and ends with 0', () => {
-    const result = runCommand(['explain', 'known', LOG]);
+  it('prints the events of a known request and exits with status 0', () => {
+    const result = runCommand(['explain', 'known', LOG_FILE]);
     expect(result.status).toEqual(0);
     expect(result.stdout).toInclude('request_ended');
   });
 });
 
-describe('the command line', () => {
-  it('shows its help for a command too', () => {
-    // Guards against refusing `losses --help` as an unknown flag.
+describe('nutmeggauge command line', () => {
+  it('shows the help when --help follows a command', () => {
+    // Guards against reporting the flag of `losses --help` as unknown.
     const {status, stdout} = runCommand(['losses', '--help']);
     expect(status).toEqual(0);
     expect(stdout).toInclude('--objectives');
   });
 
-  it('works from any folder', () => {
-    // Guards against a command that needs a deploy file which it does not use.
-    const {status} = runCommand(['explain', 'known', LOG], tmpdir());
+  it('runs a command in any working directory', () => {
+    // Guards against a command that fails outside the repository because it
+    // reads a deploy file that it does not need.
+    const {status} = runCommand(['explain', 'known', LOG_FILE], tmpdir());
     expect(status).toEqual(0);
   });
 });
 
-describe('bad words on the command line', () => {
-  // Guards against a stack trace, or a value that nobody gave.
+describe('nutmeggauge command line with invalid arguments', () => {
+  // Guards against printing a stack trace, and against running with a value
+  // that the user did not give.
   const cases: ReadonlyArray<readonly [string, readonly string[], string]> = [
     ['an unknown flag', ['soak', '--sede', '4'], 'unknown flag --sede'],
     ['an unknown short flag', ['demo', '-x'], 'unknown flag -x'],
-    ['no number', ['soak', '--seed', 'four'], '--seed needs a number'],
-    ['no value', ['losses', LOG, '--json'], '--json needs a value'],
+    [
+      'a flag value that is not a number',
+      ['soak', '--seed', 'four'],
+      '--seed needs a number',
+    ],
+    [
+      'a flag without a value',
+      ['losses', LOG_FILE, '--json'],
+      '--json needs a value',
+    ],
     ['a flag set twice', ['soak', '--seed=1', '--seed=2'], '--seed'],
-    ['an unknown policy', ['demo', '--routing', 'best'], 'best'],
+    ['an unknown routing policy', ['demo', '--routing', 'best'], 'best'],
     ['an unknown command', ['lossses'], 'unknown command lossses'],
-    ['an unknown stand-in', ['standin', 'queue'], 'queue'],
-    ['no experiment', ['bench'], 'needs an experiment file'],
-    ['a missing experiment', ['bench', 'nowhere.yaml'], 'nowhere.yaml'],
-    ['no request', ['explain'], 'needs the id of a request'],
-    ['no log', ['explain', 'known'], 'no log file named'],
-    ['a missing log', ['timeline', 'nowhere.log'], 'nowhere.log'],
-    ['a folder without logs', ['timeline', 'docs'], 'no .log file in docs'],
-    ['no figures', ['capacity', 'nowhere'], 'nowhere/measured.json'],
-    ['no log of a gate', ['losses', 'README.md'], 'no line of a gate'],
-    ['no log for losses', ['losses'], 'no log file named'],
+    ['an unknown kind of stand-in', ['standin', 'queue'], 'queue'],
+    [
+      'a bench command without an experiment file',
+      ['bench'],
+      'needs an experiment file',
+    ],
+    [
+      'an experiment file that does not exist',
+      ['bench', 'nowhere.yaml'],
+      'nowhere.yaml',
+    ],
+    [
+      'an explain command without a request id',
+      ['explain'],
+      'needs the id of a request',
+    ],
+    [
+      'an explain command without a log file',
+      ['explain', 'known'],
+      'no log file named',
+    ],
+    [
+      'a log file that does not exist',
+      ['timeline', 'nowhere.log'],
+      'nowhere.log',
+    ],
+    [
+      'a folder without log files',
+      ['timeline', 'docs'],
+      'no .log file in docs',
+    ],
+    [
+      'a folder without measured.json',
+      ['capacity', 'nowhere'],
+      'nowhere/measured.json',
+    ],
+    [
+      'a file without gate log lines',
+      ['losses', 'README.md'],
+      'no line of a gate',
+    ],
+    ['a losses command without a log file', ['losses'], 'no log file named'],
   ];
-  for (const [name, words, what] of cases)
-    it(`${name}: one line and status 2`, () => checkOneLine(words, 2, what));
+  for (const [name, cliArgs, expectedText] of cases)
+    it(`reports ${name} in one line and exits with status 2`, () =>
+      checkErrorLine(cliArgs, 2, expectedText));
 
-  it('a bad experiment file: one line and status 2', () => {
+  it('reports an invalid experiment file in one line and exits with status 2', () => {
     const bad = writeTestFile('bad.yaml', 'name: x\nload: {ratePerSecond: no}');
-    checkOneLine(['bench', bad], 2, 'load.ratePerSecond');
+    checkErrorLine(['bench', bad], 2, 'load.ratePerSecond');
     const noYaml = writeTestFile('no.yaml', 'name: [x\nload: }');
-    checkOneLine(['bench', noYaml], 2, 'not valid YAML');
-    checkOneLine(['bench', 'experiments'], 2, 'experiments');
+    checkErrorLine(['bench', noYaml], 2, 'not valid YAML');
+    checkErrorLine(['bench', 'experiments'], 2, 'experiments');
   });
 
-  it('an asked request that no log names: one line and status 1', () => {
-    checkOneLine(['losses', LOG, '--request', 'unknown'], 1, 'unknown');
+  it('reports a --request id that is not in the log in one line and exits with status 1', () => {
+    checkErrorLine(['losses', LOG_FILE, '--request', 'unknown'], 1, 'unknown');
   });
 });
--- a/packages/nutmeggauge/src/cli/commands.ts
+++ b/packages/nutmeggauge/src/cli/commands.ts
@@ -1,4 +1,4 @@
-/** What each command of `nutmeggauge` runs. */
+/** Implementations of the commands of `nutmeggauge`, by command name. */
 import {join} from 'node:path';
 import {runBench} from '../bench/bench.js';
 import {runDemo} from '../demo.js';
@@ -15,19 +15,19 @@
 import type {CommandFlags} from './flags.js';
 
 /**
- * Runs one command.
+ * Runs one command with the arguments that follow its name.
  *
- * @returns Exit status for a command whose work is over, however many
- *     connections it left open; nothing when the process ends by itself.
+ * @returns Exit status if the process is to exit at once, even with open
+ *     connections; nothing if the process ends by itself.
  */
 type Command = (
-  words: readonly string[],
+  cliArgs: readonly string[],
   flags: CommandFlags,
 ) => number | void | Promise<number | void>;
 
 function resolveRunDir(command: string, {runDir}: CommandFlags): string {
-  const stamp = new Date().toISOString().replace(/[:.]/g, '-');
-  return runDir ?? join('runs', `${command}-${stamp}`);
+  const timestamp = new Date().toISOString().replace(/[:.]/g, '-');
+  return runDir ?? join('runs', `${command}-${timestamp}`);
 }
 
 function printEvents(events: readonly TimelineEvent[]): void {
@@ -40,7 +40,7 @@
   if (events.length === 0)
     throw new UnknownRequestError(
       {info: {requestId, paths}},
-      `no line names the request ${requestId}`,
+      `no log line names the request ${requestId}`,
     );
   printEvents(events);
 }
@@ -50,17 +50,17 @@
   try {
     text = writeCapacity(folder);
   } catch (cause) {
-    // No folder, no file of measurements, or one that is not JSON.
-    if (!isFileFault(cause)) throw cause;
+    // The folder or measured.json is missing, unreadable or not valid JSON.
+    if (!isFileError(cause)) throw cause;
     throw new InputFileError(
       {cause, info: {folder}},
-      `${join(folder, 'measured.json')}: cannot be used`,
+      `${join(folder, 'measured.json')}: cannot be read or is not valid JSON`,
     );
   }
   process.stdout.write(text);
 }
 
-function isFileFault(error: unknown): error is Error {
+function isFileError(error: unknown): error is Error {
   return (
     error instanceof SyntaxError || (error instanceof Error && 'code' in error)
   );
@@ -104,7 +104,7 @@
 /**
  * Finds a command by its name.
  *
- * @throws UsageError when there is none.
+ * @throws UsageError when no command has that name.
  * @example
  * await findCommand('timeline')(['runs/demo-1'], flags);
  */
--- a/packages/nutmeggauge/src/cli/errors.ts
+++ b/packages/nutmeggauge/src/cli/errors.ts
@@ -1,22 +1,22 @@
 /**
- * Errors that the user can correct, reported in one line on stderr with an exit
- * status.
+ * Errors that the user of a command can correct: `nutmeggauge` reports them in
+ * one line on stderr and exits with their status.
  */
 import VError from 'verror';
 import {EXIT_BAD_SETTINGS} from '@nutmeggauge/core';
 
-/** Exit status of a command that found nothing, or broken invariants. */
+/** Exit status of a command that finds nothing or finds violated invariants. */
 export const EXIT_NOT_FOUND = 1;
 
 /**
- * Base class of these errors.
+ * Base class of the errors that the user of a command can correct.
  *
  * @example
  * throw new UsageError({info: {flag: '--seed'}}, '--seed needs a number');
  */
 export abstract class CommandError extends VError {
   abstract readonly code: string;
-  /** Exit status of the process. */
+  /** Status with which the process exits. */
   readonly exitStatus: number = EXIT_BAD_SETTINGS;
 
   constructor(options: VError.Options, message: string) {
@@ -24,25 +24,25 @@
   }
 }
 
-/** A command, flag or argument that is missing, unknown or malformed. */
+/** Reports a command, flag or argument that is missing, unknown or malformed. */
 export class UsageError extends CommandError {
   readonly code = 'usage';
   override name = 'UsageError';
 }
 
-/** Files that are missing, cannot be read, or hold nothing to work on. */
+/** Reports input files that are missing, unreadable or without usable content. */
 export class InputFileError extends CommandError {
   readonly code = 'input_file';
   override name = 'InputFileError';
 }
 
-/** A file that a command was to write and could not. */
+/** Reports an output file that cannot be written. */
 export class OutputFileError extends CommandError {
   readonly code = 'output_file';
   override name = 'OutputFileError';
 }
 
-/** A request that no line of the given files names. */
+/** Reports a request id that no line of the given log files contains. */
 export class UnknownRequestError extends CommandError {
   readonly code = 'unknown_request';
   override name = 'UnknownRequestError';
--- a/packages/nutmeggauge/src/cli/flags.ts
+++ b/packages/nutmeggauge/src/cli/flags.ts
@@ -1,10 +1,10 @@
-/** Flags of `nutmeggauge` and their validation. */
+/** Flags of the `nutmeggauge` command line, their help text and validation. */
 import meow from 'meow';
 import {UsageError} from './errors.js';
 import type {Result} from 'meow';
 
-/** Routing policies of the gate that `demo` starts. */
-const ROUTINGS = [
+/** Routing policies that `demo --routing` accepts. */
+const ROUTING_POLICIES = [
   'round-robin',
   'least-outstanding',
   'power-of-two',
@@ -12,7 +12,7 @@
   'class-load',
 ];
 
-const FENCINGS = ['refuse', 'ignore'];
+const FENCING_MODES = ['refuse', 'ignore'];
 
 const FLAGS = {
   faults: {type: 'boolean', default: false},
@@ -26,13 +26,13 @@
   gateStops: {type: 'number', default: 2},
   timing: {type: 'boolean', default: true},
   agents: {type: 'boolean', default: false},
-  routing: {type: 'string', default: 'class-load', choices: ROUTINGS},
+  routing: {type: 'string', default: 'class-load', choices: ROUTING_POLICIES},
   runDir: {type: 'string'},
   out: {type: 'string'},
   id: {type: 'string', default: 'stand-in'},
   host: {type: 'string', default: '127.0.0.1'},
   port: {type: 'number', default: 0},
-  fencing: {type: 'string', default: 'refuse', choices: FENCINGS},
+  fencing: {type: 'string', default: 'refuse', choices: FENCING_MODES},
   lagMs: {type: 'number', default: 250},
   latencyMs: {type: 'number', default: 20},
   prefillRate: {type: 'number', default: 400_000},
@@ -48,7 +48,7 @@
     $ nutmeggauge demo [--faults] [--seed N] [--routing POLICY] [--run-dir DIR]
     $ nutmeggauge bench <experiment.yaml…> [--run-dir DIR]
     $ nutmeggauge measure [--out DIR] [--run-dir DIR]
-    $ nutmeggauge capacity <folder of measured.json>
+    $ nutmeggauge capacity <folder with measured.json>
     $ nutmeggauge soak [--seed N] [--seeds COUNT] [--jobs N] [--gates N]
       [--targets N] [--length-ms N] [--restores N] [--gate-stops N] [--no-timing]
       [--run-dir DIR]
@@ -62,45 +62,48 @@
       [--host ADDRESS]
 
   Options
-    --faults      Kill, pause and cut off processes while the load runs
-    --seed        Seed of the workload, first seed of a soak (default 20261202)
-    --seeds       Seeds of a soak, played one after the other (default 1)
-    --jobs        Seeds that a soak plays at once (default 1)
+    --faults      Inject faults during the load: kill and pause processes, break
+                  the configuration service
+    --seed        Seed of the workload, or first seed of a soak (default 20261202)
+    --seeds       Soak: number of consecutive seeds to run (default 1)
+    --jobs        Soak: number of seeds that run in parallel (default 1)
     --gates, --targets, --length-ms
-                  Size and length of a soak (default 3, 6 and 14000)
-    --restores    Soak: returns of the store from an older copy (default 2)
-    --gate-stops  Soak: gates that are told to stop or killed around a suspension
+                  Soak: number of gates, number of targets and duration
+                  (default 3, 6 and 14000)
+    --restores    Soak: number of restores of the store from an older copy
                   (default 2)
-    --agents      Soak: gates with agents beside their targets, in place of
-                  direct gates
-    --no-timing   Soak: leaves out promises with a bound on time, for busy
-                  machines
+    --gate-stops  Soak: number of stops or kills of a gate during or near a
+                  suspension of that gate (default 2)
+    --agents      Soak: use gates with an agent for each target instead of direct
+                  gates
+    --no-timing   Soak: skip checks with a bound on time, for busy machines
     --routing     round-robin | least-outstanding | power-of-two | token-load |
                   class-load
     --run-dir     Folder for settings and logs (default runs/<command>-<time>)
-    --out         Folder for the figures of measure (default runs/measure-<time>)
-    --objectives  Losses: YAML file of the routes' objectives
+    --out         Folder for the results of measure (default runs/measure-<time>)
+    --objectives  Losses: YAML file with the objectives of the routes
     --json, --html
-                  Losses: files for the whole analysis and for the page
-    --request     Losses: the request that the page's plot shows (default: the
-                  largest late prompt)
+                  Losses: output files for the analysis and for the HTML page
+    --request     Losses: request that the plot on the HTML page shows (default:
+                  the largest late prompt)
     --id, --host, --port
                   Name and address of a stand-in (default host 127.0.0.1)
-    --fencing     Engine stand-in: refuse | ignore orders with old fencing numbers
-    --lag-ms      Engine load lag, or host list lag, in ms
-    --latency-ms  Plain service latency, in ms
-    --prefill-rate  Engine stand-in: prompt tokens read a second
-    --chunk-tokens  Engine stand-in: most prompt tokens read in one step
+    --fencing     Engine stand-in: refuse orders with old fencing numbers, or
+                  ignore the numbers (refuse | ignore)
+    --lag-ms      Delay of an engine's load report, or of the host list, in ms
+    --latency-ms  Plain service stand-in: latency of an answer, in ms
+    --prefill-rate  Engine stand-in: prompt tokens prefilled per second
+    --chunk-tokens  Engine stand-in: maximum prompt tokens prefilled in one step
 `;
 
-/** A parsed command line: words, flags, and the help. */
+/** Parsed command line: arguments, flags, and functions that show the help. */
 export type CommandLine = Result<typeof FLAGS>;
 
-/** Values of the flags. */
+/** Values of the flags, with defaults filled in. */
 export type CommandFlags = CommandLine['flags'];
 
-/** Exit status after `--help`. */
-const EXIT_SHOWN = 0;
+/** Exit status after the help was shown. */
+const EXIT_HELP = 0;
 
 function formatFlag(key: string): string {
   if (key.length === 1) return `-${key}`;
@@ -121,32 +124,32 @@
 /**
  * Parses a command line.
  *
- * @param words - Without the names of Node and of the script.
+ * @param cliArgs - Arguments after the paths of Node and of the script.
  * @throws UsageError when a flag is unknown, set twice, or has a bad value.
  * @example
  * parseCommandLine(process.argv.slice(2), import.meta).input;
  */
 export function parseCommandLine(
-  words: readonly string[],
+  cliArgs: readonly string[],
   importMeta: ImportMeta,
 ): CommandLine {
-  const cli = readWords(words, importMeta);
-  // meow shows the help only if the flag stands alone.
-  if (words.includes('--help')) cli.showHelp(EXIT_SHOWN);
+  const cli = parseArguments(cliArgs, importMeta);
+  // meow shows the help by itself only if --help is the only argument.
+  if (cliArgs.includes('--help')) cli.showHelp(EXIT_HELP);
   for (const [key, value] of Object.entries(cli.flags))
     if (value !== undefined) checkFlag(key, value);
   return cli;
 }
 
-function readWords(
-  words: readonly string[],
+function parseArguments(
+  cliArgs: readonly string[],
   importMeta: ImportMeta,
 ): CommandLine {
   try {
-    return meow(HELP, {importMeta, argv: words, flags: FLAGS});
+    return meow(HELP, {importMeta, argv: cliArgs, flags: FLAGS});
   } catch (cause) {
     // meow throws for a repeated flag and for an invalid choice.
     const message = (cause as Error).message.replace(/\s+/g, ' ');
-    throw new UsageError({info: {words}}, message);
+    throw new UsageError({info: {words: cliArgs}}, message);
   }
 }
--- a/packages/nutmeggauge/src/cli/launchers.test.ts
+++ b/packages/nutmeggauge/src/cli/launchers.test.ts
@@ -12,15 +12,15 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 
-/** Packages with a command, and its name. */
+/** Folder and command name of each package with a command. */
 const COMMANDS = [
   ['packages/nutmeggauge', 'nutmeggauge'],
   ['packages/gate', 'nutmeggauge-gate'],
   ['packages/agent', 'nutmeggauge-agent'],
 ] as const;
 
-/** Longest run of a command that does nothing, in ms. */
-const RUN_LIMIT_MS = 30_000;
+/** Timeout of a command that only prints help or an error, in ms. */
+const COMMAND_TIMEOUT_MS = 30_000;
 
 function findLauncher(folder: string, name: string): string {
   const {bin} = JSON.parse(
@@ -29,29 +29,29 @@
   return join(folder, bin[name]);
 }
 
-describe('commands by their names', () => {
+describe('launchers of the package commands', () => {
   for (const [folder, name] of COMMANDS) {
-    it(`${name}: stands in the repository and runs`, () => {
-      // Guards against a linked command that exists only after the build.
+    it(`${name} runs from an executable file in the repository outside dist`, () => {
+      // Guards against a package command whose file exists only after the build.
       const launcher = findLauncher(folder, name);
       expect(launcher.split('/').includes('dist')).toEqual(false);
       expect((statSync(launcher).mode & 0o111) !== 0).toEqual(true);
       const result = spawnSync(launcher, ['--help'], {
         encoding: 'utf8',
-        timeout: RUN_LIMIT_MS,
+        timeout: COMMAND_TIMEOUT_MS,
       });
       expect(result.status).toEqual(0);
       expect(result.stdout).toInclude(`$ ${name} `);
     });
 
-    it(`${name}: says when it is not built yet`, () => {
+    it(`${name} reports a missing build and exits with status 2`, () => {
       const clone = mkdtempSync(join(tmpdir(), 'unbuilt-'));
       mkdirSync(join(clone, 'bin'));
       const launcher = join(clone, 'bin', `${name}.mjs`);
       copyFileSync(findLauncher(folder, name), launcher);
       const result = spawnSync(process.execPath, [launcher, '--help'], {
         encoding: 'utf8',
-        timeout: RUN_LIMIT_MS,
+        timeout: COMMAND_TIMEOUT_MS,
       });
       rmSync(clone, {recursive: true});
       expect(result.status).toEqual(2);
@@ -62,8 +62,8 @@
   }
 });
 
-/** Invalid words for a daemon, and the error it reports. */
-const BAD_WORDS: ReadonlyArray<readonly [readonly string[], string]> = [
+/** Invalid arguments of the gate or agent command, and the expected error. */
+const INVALID_ARGUMENTS: ReadonlyArray<readonly [readonly string[], string]> = [
   [[], '--config needs the path of a settings file'],
   [['--config'], '--config needs the path of a settings file'],
   [['--config', 'a', '--config', 'b'], 'config'],
@@ -72,14 +72,14 @@
   [['--config', '/no/such/file.yaml'], '/no/such/file.yaml'],
 ];
 
-describe('daemons that are started with bad words', () => {
+describe('gate and agent commands with invalid arguments', () => {
   for (const [folder, name] of COMMANDS.slice(1)) {
-    it(`${name}: says what is wrong in one line`, () => {
-      // Guards against ignored flags, and against stack traces.
-      for (const [words, text] of BAD_WORDS) {
-        const result = spawnSync(findLauncher(folder, name), words, {
+    it(`${name} reports the error in one line and exits with status 2`, () => {
+      // Guards against flags that are ignored and errors shown as stack traces.
+      for (const [cliArgs, text] of INVALID_ARGUMENTS) {
+        const result = spawnSync(findLauncher(folder, name), cliArgs, {
           encoding: 'utf8',
-          timeout: RUN_LIMIT_MS,
+          timeout: COMMAND_TIMEOUT_MS,
         });
         expect(result.status).toEqual(2);
         expect(result.stderr.trimEnd().split('\n').length).toEqual(1);
