--- a/packages/nutmeggauge/src/defaults.ts
+++ b/packages/nutmeggauge/src/defaults.ts
@@ -1,20 +1,20 @@
 /**
- * The embedded default deployment, workload and faults of `nutmeggauge demo`:
- * the two operators' client accounts, a chat model pool on engine stand-ins
- * and an order service whose `place-order` call must never be repeated.
+ * Default deployment, workload and faults of `nutmeggauge demo`: client
+ * accounts of two operators, a pool of engine stand-ins for a chat model, and
+ * an order service whose `place-order` call must never be executed twice.
  */
 import type {ClusterTarget} from './cluster/cluster-spec.js';
 import type {Fault} from './faults/schedule.js';
 import type {WorkloadSpec} from './load/workload.js';
 
-/** A client account of a demo or bench record. */
+/** Client account in the configuration record of a demo or bench. */
 export interface DemoAccount {
   readonly id: string;
   readonly key: string;
   readonly pools: readonly string[];
 }
 
-/** Client accounts of the demo; those that may order name both pools. */
+/** Client accounts of the demo; those with the pool `orders` may place orders. */
 const DEMO_ACCOUNTS: readonly DemoAccount[] = [
   {id: 'hinokuni-care', key: 'hk-care-0001-demo', pools: ['chat', 'orders']},
   {id: 'hinokuni-staff', key: 'hk-staff-0002-demo', pools: ['chat']},
@@ -26,14 +26,14 @@
   {id: 'hraunvik-foremen', key: 'hv-foreman-0004-demo', pools: ['chat']},
 ];
 
-/** Limits that the demo's load stays within. */
+/** Limits of every demo account, above the load of the demo. */
 const DEMO_LIMITS = {ratePerSecond: 500, maxConcurrent: 2000};
 
 const listKeys = (accounts: readonly DemoAccount[]) =>
   accounts.map(account => account.key);
 
 /**
- * Builds the configuration record for a cluster's targets.
+ * Builds the configuration record for the targets of a cluster.
  *
  * @example
  * await cluster.publish(buildDemoRecord(cluster.targets));
@@ -62,7 +62,7 @@
   };
 }
 
-/** The demo's workload: 150 completions, 1 in 50 over 100k tokens, and order calls. */
+/** Workload of the demo: 150 completions, 1 in 50 over 100k tokens, and orders. */
 export const DEMO_WORKLOAD: WorkloadSpec = {
   seed: 20261202,
   requests: 150,
@@ -80,7 +80,7 @@
   repeatedOrders: 3,
 };
 
-/** The workload of `demo --faults`: longer, with many repeated orders. */
+/** Workload of `demo --faults`: longer, with many repeated orders. */
 export const FAULT_WORKLOAD: WorkloadSpec = {
   ...DEMO_WORKLOAD,
   requests: 360,
@@ -89,7 +89,7 @@
   repeatAfterMs: 700,
 };
 
-/** What happens during `demo --faults`, over some twelve seconds of load. */
+/** Faults of `demo --faults`, during about 12 seconds of load. */
 export const DEMO_FAULTS: readonly Fault[] = [
   {atMs: 1000, forMs: 1500, kind: 'kill', process: 'engine-01'},
   {atMs: 2000, forMs: 1500, kind: 'kill', process: 'agent-engine-02'},
--- a/packages/nutmeggauge/src/demo.ts
+++ b/packages/nutmeggauge/src/demo.ts
@@ -1,6 +1,6 @@
 /**
- * `nutmeggauge demo`: starts a whole deployment on loopback, sends the
- * default mix of requests through the gates, and prints what callers saw.
+ * Command `nutmeggauge demo`: starts a complete deployment on loopback, sends
+ * the default workload through the gates, and prints a summary of the results.
  */
 import {startLocalCluster} from './cluster/local-cluster.js';
 import {
@@ -18,23 +18,23 @@
 
 /** Options of the demo. */
 export interface DemoOptions {
-  /** Folder for settings and logs; one per run. */
+  /** Folder for the settings files and logs of this run only. */
   readonly runDir: string;
   readonly seed: number;
   /** Routing policy of the gates. */
   readonly routing: string;
-  /** Kill, pause and cut off processes while the load runs. */
+  /** Whether faults are injected while the load runs. */
   readonly faults: boolean;
 }
 
-/** Window of every request of the demo, in ms. */
+/** Time from the start of a request to its deadline, in ms. */
 const DEADLINE_MS = 30_000;
 
-/** Requests between two lines of progress. */
-const PROGRESS_EVERY = 50;
+/** Number of finished requests between two progress lines. */
+const REQUESTS_PER_PROGRESS_LINE = 50;
 
 /**
- * Runs the demo and returns its summary; stops every process before it returns.
+ * Runs the demo, stops all of its processes, and returns the summary.
  *
  * @example
  * const summary = await runDemo({runDir: 'runs/demo-1', seed: 7, routing: 'least-outstanding', faults: false});
@@ -69,7 +69,7 @@
         deadlineMs: DEADLINE_MS,
         sharedPrefixTokens: workload.sharedPrefixTokens,
         onResult: (_result, done, total) => {
-          if (done % PROGRESS_EVERY === 0 || done === total)
+          if (done % REQUESTS_PER_PROGRESS_LINE === 0 || done === total)
             print(`  ${done}/${total} answered or refused`);
         },
       }),
@@ -78,7 +78,9 @@
     const executions = readExecutions(options.runDir);
     const summary = summarizeRun(plan, results, executions);
     print(formatSummary(summary));
-    print(`time line of all processes: nutmeggauge timeline ${options.runDir}`);
+    print(
+      `to merge the logs of all processes, run: nutmeggauge timeline ${options.runDir}`,
+    );
     return summary;
   } finally {
     await cluster.stop();
--- a/packages/nutmeggauge/src/standin/run-standin.ts
+++ b/packages/nutmeggauge/src/standin/run-standin.ts
@@ -1,6 +1,6 @@
 /**
- * `nutmeggauge standin <kind>`: runs one stand-in of the platform as its own
- * process, so the demo and the bench can kill or pause it.
+ * Command `nutmeggauge standin <kind>`: runs one stand-in of the platform as a
+ * separate process, so that the demo and the bench can kill or pause it.
  */
 import {UnknownStandInError, setProcessName} from '@nutmeggauge/core';
 import {
@@ -11,7 +11,7 @@
 } from '@nutmeggauge/standins';
 import type {FencingMode} from '@nutmeggauge/standins';
 
-/** Flags of the standin subcommand. */
+/** Flags of the `standin` command. */
 export interface StandInFlags {
   readonly id: string;
   readonly host: string;
@@ -23,12 +23,13 @@
   readonly chunkTokens: number;
 }
 
-/** Kinds that `nutmeggauge standin` can run. */
+/** Kinds of stand-ins that `nutmeggauge standin` can run. */
 export const STAND_IN_KINDS = ['engine', 'config', 'hosts', 'plain'] as const;
 
 /**
- * Starts the stand-in of `kind` and keeps the process alive.
+ * Starts the stand-in of `kind`, whose listener keeps the process alive.
  *
+ * @throws UnknownStandInError when `kind` is unknown.
  * @example
  * await runStandIn('engine', {id: 'engine-1', host: '127.0.0.1', port: 7101, fencing: 'refuse', lagMs: 250, latencyMs: 20, prefillRate: 400000, chunkTokens: 16384});
  */
@@ -64,7 +65,7 @@
     default:
       throw new UnknownStandInError(
         {info: {kind}},
-        `unknown stand-in kind ${kind}; one of ${STAND_IN_KINDS.join(', ')}`,
+        `unknown stand-in kind ${kind}; expected one of ${STAND_IN_KINDS.join(', ')}`,
       );
   }
 }
