--- a/packages/nutmeggauge/src/cli/errors.ts
+++ b/packages/nutmeggauge/src/cli/errors.ts
@@ -24,13 +24,13 @@
   }
 }
 
-/** Reports a command, flag or argument that is missing, unknown or malformed. */
+/** Reports a missing, unknown or malformed command, flag or argument. */
 export class UsageError extends CommandError {
   readonly code = 'usage';
   override name = 'UsageError';
 }
 
-/** Reports input files that are missing, unreadable or without usable content. */
+/** Reports input files that are missing, unreadable or without usable data. */
 export class InputFileError extends CommandError {
   readonly code = 'input_file';
   override name = 'InputFileError';
--- a/packages/nutmeggauge/src/cli/launchers.test.ts
+++ b/packages/nutmeggauge/src/cli/launchers.test.ts
@@ -32,7 +32,7 @@
 describe('launchers of the package commands', () => {
   for (const [folder, name] of COMMANDS) {
     it(`${name} runs from an executable file in the repository outside dist`, () => {
-      // Guards against a package command whose file exists only after the build.
+      // Guards against linking a command to a file that only the build creates.
       const launcher = findLauncher(folder, name);
       expect(launcher.split('/').includes('dist')).toEqual(false);
       expect((statSync(launcher).mode & 0o111) !== 0).toEqual(true);
--- a/packages/nutmeggauge/src/cluster/ports.ts
+++ b/packages/nutmeggauge/src/cluster/ports.ts
@@ -30,7 +30,7 @@
 ): Promise<number[]> {
   const servers: Server[] = [];
   const ports: number[] = [];
-  // Servers occupy their ports until all are found, so that none is found twice.
+  // Servers hold their ports until all are found, so that none is found twice.
   for (let attemptIndex = 0; ports.length < count; attemptIndex++) {
     if (attemptIndex > count + MAX_EXTRA_ATTEMPTS)
       throw new ClusterError({info: {count}}, 'not enough free TCP ports');
--- a/packages/nutmeggauge/src/defaults.ts
+++ b/packages/nutmeggauge/src/defaults.ts
@@ -14,7 +14,7 @@
   readonly pools: readonly string[];
 }
 
-/** Client accounts of the demo; those with the pool `orders` may place orders. */
+/** Client accounts of the demo; the pool `orders` lets them place orders. */
 const DEMO_ACCOUNTS: readonly DemoAccount[] = [
   {id: 'hinokuni-care', key: 'hk-care-0001-demo', pools: ['chat', 'orders']},
   {id: 'hinokuni-staff', key: 'hk-staff-0002-demo', pools: ['chat']},
@@ -62,7 +62,7 @@
   };
 }
 
-/** Workload of the demo: 150 completions, 1 in 50 over 100k tokens, and orders. */
+/** Demo workload: 150 completions, 1 in 50 over 100k tokens, and orders. */
 export const DEMO_WORKLOAD: WorkloadSpec = {
   seed: 20261202,
   requests: 150,
--- a/packages/nutmeggauge/src/e2e/admin.test.ts
+++ b/packages/nutmeggauge/src/e2e/admin.test.ts
@@ -94,7 +94,7 @@
 
   it('applies the newest record whose schema version it supports', async () => {
     // Guards against a gate that misses the newest record of its own schema
-    // version because records of a later schema version are published around it.
+    // version when records of a later schema version are published around it.
     const {config, gate} = stack;
     const next = stripVersion(stack.record);
     config.publish({...next, schemaVersion: 2});
--- a/packages/nutmeggauge/src/e2e/config-faults.test.ts
+++ b/packages/nutmeggauge/src/e2e/config-faults.test.ts
@@ -46,7 +46,7 @@
   });
 
   it('keeps the newest record when a stale replica of the service serves an older one', async () => {
-    // Guards against a lagging replica whose older record removes a new API key.
+    // Guards against a lagging replica whose old record removes a new API key.
     const base = stripVersion(stack.record);
     const accounts = [
       ...(base.accounts as object[]),
@@ -86,8 +86,8 @@
   });
 
   it('accepts orders with an idempotency key at an agent that restarts while the service is down', async () => {
-    // Guards against a restarted agent that refuses requests with an idempotency
-    // key during an outage of the configuration service.
+    // Guards against a restarted agent that refuses requests with an
+    // idempotency key during an outage of the configuration service.
     stack.config.setMode('down');
     await stack.restartAgent(1);
     await waitUntil(
--- a/packages/nutmeggauge/src/e2e/drain.test.ts
+++ b/packages/nutmeggauge/src/e2e/drain.test.ts
@@ -199,7 +199,7 @@
   });
 
   it('sends Connection: close with the answer', async () => {
-    // Guards against callers that reuse a connection to a gate that has stopped.
+    // Guards against callers that reuse a connection to a stopped gate.
     const {port, hostname} = new URL(stack.gateUrl);
     const text = await new Promise<string>(resolve => {
       let received = '';
--- a/packages/nutmeggauge/src/e2e/foreign-callers.test.ts
+++ b/packages/nutmeggauge/src/e2e/foreign-callers.test.ts
@@ -32,7 +32,8 @@
 
 describe('gate with callers that violate the HTTP protocol', () => {
   let stack: Stack;
-  // The test runner only warns about uncaught errors that originate in a hook.
+  // Collected here, since the test runner only warns about uncaught errors that
+  // originate in a hook, as those of the stack do.
   const uncaughtErrors: unknown[] = [];
   const recordError = (error: unknown) => {
     uncaughtErrors.push(error);
@@ -60,8 +61,8 @@
   }
 
   it('keeps serving after callers reset their connections in the middle of a body', async () => {
-    // Guards against a gate that crashes when a caller disconnects in the middle
-    // of a request body.
+    // Guards against a gate that crashes when a caller disconnects in the
+    // middle of a request body.
     const head =
       'POST /v1/completions HTTP/1.1\r\nHost: a\r\n' +
       `Authorization: Bearer ${TEST_KEY}\r\nContent-Length: 100\r\n\r\n{"model"`;
--- a/packages/nutmeggauge/src/e2e/streams.test.ts
+++ b/packages/nutmeggauge/src/e2e/streams.test.ts
@@ -83,7 +83,7 @@
   });
 
   it('does not delay repeatable requests, which are sent to another agent', async () => {
-    // Guards against waiting for a suspended host whose last heartbeats are recent.
+    // Guards against waiting for a suspended host with recent heartbeats.
     const frozen = await startFrozenAgent();
     const version = publishChatTargets(stack, targets => [
       {id: 'frozen', agent: `127.0.0.1:${frozen.port}`, zone: 'az-1'},
--- a/packages/nutmeggauge/src/e2e/subset.test.ts
+++ b/packages/nutmeggauge/src/e2e/subset.test.ts
@@ -12,7 +12,7 @@
     await stack.close();
   });
 
-  it('sends the requests of every key to its home, also when the home is outside the subset', async () => {
+  it('sends every keyed order to its home agent, also when that agent is outside the subset', async () => {
     // Guards against a second home for keys whose home is outside the subset.
     const linked = Object.keys(await readUsable(stack));
     expect(linked.filter(id => id.startsWith('plain-')).length).toEqual(1);
