--- a/packages/nutmeggauge/src/bin.ts
+++ b/packages/nutmeggauge/src/bin.ts
@@ -21,7 +21,10 @@
 import {CommandError, EXIT_NOT_FOUND} from './cli/errors.js';
 import {parseCommandLine} from './cli/flags.js';
 
-/** Returns the exit status for an error that the user can correct. */
+/**
+ * Returns the exit status for an error that the user can correct, or undefined
+ * for any other error.
+ */
 function findExitStatus(error: unknown): number | undefined {
   if (error instanceof CommandError) return error.exitStatus;
   if (error instanceof SettingsError) return EXIT_BAD_SETTINGS;
--- a/packages/nutmeggauge/src/cli/commands.ts
+++ b/packages/nutmeggauge/src/cli/commands.ts
@@ -50,11 +50,12 @@
   try {
     text = writeCapacity(folder);
   } catch (cause) {
-    // The folder or measured.json is missing, unreadable or not valid JSON.
+    // The folder or measured.json is missing, unreadable or not valid JSON, or
+    // figures.md cannot be written.
     if (!isFileError(cause)) throw cause;
     throw new InputFileError(
       {cause, info: {folder}},
-      `${join(folder, 'measured.json')}: cannot be read or is not valid JSON`,
+      `${join(folder, 'measured.json')}: cannot be used`,
     );
   }
   process.stdout.write(text);
--- a/packages/nutmeggauge/src/cluster/process.ts
+++ b/packages/nutmeggauge/src/cluster/process.ts
@@ -45,7 +45,10 @@
     this.child.kill(signal);
   }
 
-  /** Resolves once the process has exited; with null if a signal ended it. */
+  /**
+   * Resolves with the exit code once the process has exited, or with null if a
+   * signal ended the process.
+   */
   waitForExit(): Promise<number | null> {
     return this.exited;
   }
