--- a/packages/nutmeggauge/src/faults/busy.ts
+++ b/packages/nutmeggauge/src/faults/busy.ts
@@ -1,23 +1,23 @@
-/** A busy machine. */
+/** Simulates a busy machine. */
 import {spawn} from 'node:child_process';
 
-/** Processes that spin; the driver of a soak needs a core as well. */
-const SPINNING = 4;
+/** Number of busy-looping processes; the driver of a soak needs a core as well. */
+const SPIN_PROCESS_COUNT = 4;
 
-/** Longest time that they spin, in ms, should their driver end before. */
-const LIMIT_MS = 10_000;
+/** Longest time that a process busy-loops, in ms, in case the driver exits early. */
+const MAX_SPIN_MS = 10_000;
 
-const SPIN = `const end = Date.now() + ${LIMIT_MS}; while (Date.now() < end);`;
+const SPIN_SCRIPT = `const end = Date.now() + ${MAX_SPIN_MS}; while (Date.now() < end);`;
 
 /**
- * Keeps cores busy; the result ends it.
+ * Starts processes that keep CPU cores busy; returns a function that kills them.
  *
  * @example
- * const stop = startBusy();
+ * const stop = startCpuLoad();
  */
-export function startBusy(): () => void {
-  const children = Array.from({length: SPINNING}, () =>
-    spawn(process.execPath, ['-e', SPIN], {stdio: 'ignore'}),
+export function startCpuLoad(): () => void {
+  const children = Array.from({length: SPIN_PROCESS_COUNT}, () =>
+    spawn(process.execPath, ['-e', SPIN_SCRIPT], {stdio: 'ignore'}),
   );
   return () => children.forEach(child => child.kill('SIGKILL'));
 }
--- a/packages/nutmeggauge/src/faults/random-faults.ts
+++ b/packages/nutmeggauge/src/faults/random-faults.ts
@@ -1,37 +1,37 @@
 /**
- * Random faults of a local cluster, determined by a seed. They come in series
- * and overlap; a process may be suspended for less or more than the idle
- * timeout of its callers' connections.
+ * Random faults of a local cluster, determined by a seed. Faults follow each
+ * other and may overlap; a process may be suspended for less or more than the
+ * idle timeout of its callers' connections.
  */
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import type {Fault} from './schedule.js';
 
-/** What random faults may harm. */
+/** Processes that random faults may affect, and the time span of the faults. */
 export interface RandomFaultsOptions {
   readonly seed: number;
   /** Names of the gates. */
   readonly gates: readonly string[];
   /** Names of the agents and of their targets. */
   readonly backends: readonly string[];
-  /** Length of the load, in ms: every fault begins within it and ends with it. */
+  /** Length of the load, in ms: every fault begins during the load and ends with it. */
   readonly lengthMs: number;
 }
 
 /** Mean time between the starts of two faults, in ms. */
-const PAUSE_MS = 700;
+const MEAN_FAULT_INTERVAL_MS = 700;
 
-/** Longest suspension of a gate, in ms: above its idle timeout. */
-const LONGEST_GATE_PAUSE_MS = 7500;
+/** Longest suspension of a gate, in ms: above the idle timeout of its connections. */
+const MAX_GATE_PAUSE_MS = 7500;
 
-/** Longest of the other faults, in ms. */
-const LONGEST_MS = 3000;
+/** Longest fault other than the suspension of a gate, in ms. */
+const MAX_FAULT_MS = 3000;
 
 /** Shortest fault, in ms. */
-const SHORTEST_MS = 20;
+const MIN_FAULT_MS = 20;
 
 /**
- * Draws the faults of a seed.
+ * Builds the random faults of a seed.
  *
  * @example
  * buildRandomFaults({seed: 7, gates: ['gate-1'], backends: ['engine-01'], lengthMs: 30_000});
@@ -43,8 +43,8 @@
   const random = xoroshiro128plus(options.seed);
   const draw = (most: number) => uniformInt(random, 0, most - 1);
   const pick = <T>(list: readonly T[]) => list[draw(list.length)];
-  const makers: ReadonlyArray<() => Pick<Fault, 'kind' | 'process'>> = [
-    // Suspended gates are the most frequent fault.
+  const faultFactories: ReadonlyArray<() => Pick<Fault, 'kind' | 'process'>> = [
+    // Listed three times, so that suspended gates are the most frequent fault.
     () => ({kind: 'pause', process: pick(gates)}),
     () => ({kind: 'pause', process: pick(gates)}),
     () => ({kind: 'pause', process: pick(gates)}),
@@ -56,22 +56,26 @@
     () => ({kind: pick(['config-down', 'config-stale'])}),
   ];
   const faults: Fault[] = [];
-  for (let atMs = draw(PAUSE_MS); atMs < lengthMs; atMs += draw(2 * PAUSE_MS)) {
-    const fault = pick(makers)();
+  for (
+    let atMs = draw(MEAN_FAULT_INTERVAL_MS);
+    atMs < lengthMs;
+    atMs += draw(2 * MEAN_FAULT_INTERVAL_MS)
+  ) {
+    const fault = pick(faultFactories)();
     const isGatePause =
       fault.kind === 'pause' && gates.includes(fault.process ?? '');
-    const longestMs = isGatePause ? LONGEST_GATE_PAUSE_MS : LONGEST_MS;
-    const forMs = SHORTEST_MS + draw(longestMs - SHORTEST_MS);
+    const longestMs = isGatePause ? MAX_GATE_PAUSE_MS : MAX_FAULT_MS;
+    const forMs = MIN_FAULT_MS + draw(longestMs - MIN_FAULT_MS);
     faults.push({...fault, atMs, forMs: Math.min(forMs, lengthMs - atMs + 1)});
-    // Half of the gates that are told to stop are suspended by then.
+    // Half of the stopped gates are suspended when SIGTERM is sent.
     if (fault.kind !== 'stop' || draw(2) === 0) continue;
-    const pausedMs = Math.min(atMs, draw(LONGEST_GATE_PAUSE_MS));
-    const resumeMs = Math.min(atMs + draw(LONGEST_MS), lengthMs);
+    const pausedMs = Math.min(atMs, draw(MAX_GATE_PAUSE_MS));
+    const resumeMs = Math.min(atMs + draw(MAX_FAULT_MS), lengthMs);
     faults.push({
       kind: 'pause',
       process: fault.process,
       atMs: atMs - pausedMs,
-      forMs: pausedMs + SHORTEST_MS + resumeMs - atMs,
+      forMs: pausedMs + MIN_FAULT_MS + resumeMs - atMs,
     });
   }
   return faults;
--- a/packages/nutmeggauge/src/faults/schedule.ts
+++ b/packages/nutmeggauge/src/faults/schedule.ts
@@ -1,24 +1,24 @@
 /**
- * Faults played on a local cluster while load runs: processes are killed or
- * stopped and started again, paused and woken, the machine is kept busy, and
- * the configuration service goes down or serves old records.
+ * Injects faults into a local cluster under load: kills or stops processes and
+ * restarts them, suspends and resumes them, keeps the machine busy, and makes
+ * the configuration service refuse reads or serve an old record.
  */
 import {createLogger, readClockMs, waitMs} from '@nutmeggauge/core';
 import {request} from 'undici';
 import {z} from 'zod';
-import {startBusy} from './busy.js';
+import {startCpuLoad} from './busy.js';
 import type {LocalCluster} from '../cluster/local-cluster.js';
 
 export const FaultSchema = z.object({
-  /** When it begins, in ms from the start of the load. */
+  /** Start of the fault, in ms after the start of the load. */
   atMs: z.number().min(0),
-  /** How long it lasts, in ms. */
+  /** Duration of the fault, in ms. */
   forMs: z.number().positive(),
   /**
-   * - `kill`: SIGKILL, then a new start.
-   * - `stop`: SIGTERM, then a new start.
+   * - `kill`: SIGKILL, then a restart.
+   * - `stop`: SIGTERM, then a restart.
    * - `pause`: SIGSTOP, then SIGCONT.
-   * - `busy`: a few processes spin, for 10 s at most.
+   * - `busy`: a few processes busy-loop, for 10 s at most.
    * - `config-down`, `config-stale`: the configuration service refuses every
    *   read, or answers with its oldest record.
    */
@@ -30,13 +30,13 @@
     'config-down',
     'config-stale',
   ]),
-  /** Process to kill, stop or pause, such as `agent-engine-01`. */
+  /** Name of the process to kill, stop or suspend, such as `agent-engine-01`. */
   process: z.string().optional(),
 });
 
 export type Fault = z.output<typeof FaultSchema>;
 
-/** A fault as it was played; times in epoch ms. */
+/** A fault that was injected, and when; times in ms since the epoch. */
 export interface InjectedClusterFault {
   readonly fault: Fault;
   readonly beganAt: number;
@@ -44,7 +44,7 @@
 }
 
 /**
- * Plays faults on a cluster; resolves when the last one has ended.
+ * Injects faults into a cluster; resolves once the last fault has ended.
  *
  * @example
  * await runFaults(cluster, [{atMs: 1000, forMs: 500, kind: 'kill', process: 'engine-01'}]);
@@ -78,7 +78,7 @@
     case 'pause':
       return cluster.signal(name, 'SIGSTOP');
     case 'busy':
-      return void setTimeout(startBusy(), fault.forMs);
+      return void setTimeout(startCpuLoad(), fault.forMs);
     case 'config-down':
       return setConfigMode(cluster, 'down');
     case 'config-stale':
--- a/packages/nutmeggauge/src/properties/protocol.test.ts
+++ b/packages/nutmeggauge/src/properties/protocol.test.ts
@@ -1,12 +1,16 @@
 import {afterEach, beforeEach, describe, it, mock} from 'node:test';
 import {expect} from 'earl';
 import fc from 'fast-check';
-import {ANSWER_PIECES, World} from '../test/world.js';
-import type {RequestKind, SentRequest, TargetMode} from '../test/world.js';
+import {ANSWER_CHUNKS, ProtocolHarness} from '../test/protocol-harness.js';
+import type {
+  RequestKind,
+  SentRequest,
+  TargetMode,
+} from '../test/protocol-harness.js';
 
-/** Bound of configuration, in ms: by then every process holds a new record. */
-const CONFIG_BOUND_MS = 8000;
-/** By then every request has its final answer: its deadline and the grace. */
+/** Bound on configuration propagation, in ms: by then every process has the record. */
+const CONFIG_PROPAGATION_MS = 8000;
+/** Time until every request has its final answer, in ms: its deadline plus a grace period. */
 const SETTLE_MS = 3000;
 const HOSTS = 3;
 const GATES = 2;
@@ -98,68 +102,70 @@
 
 const advanceTimers = (ms: number) => mock.timers.tick(ms);
 
-async function runStep(world: World, next: Step): Promise<void> {
+async function runStep(harness: ProtocolHarness, next: Step): Promise<void> {
   switch (next.do) {
     case 'send':
-      world.send(next.gate, next.kind, next.key);
+      harness.send(next.gate, next.kind, next.key);
       return;
     case 'restart-agent':
-      world.restartHost(next.host);
+      harness.restartHost(next.host);
       return;
     case 'cut':
-      world.pickHost(next.host).isCut = true;
+      harness.pickHost(next.host).isCut = true;
       return;
     case 'mend':
-      world.pickHost(next.host).isCut = false;
+      harness.pickHost(next.host).isCut = false;
       return;
     case 'freeze':
-      world.pickHost(next.host).isFrozen = true;
+      harness.pickHost(next.host).isFrozen = true;
       return;
     case 'thaw':
-      world.pickHost(next.host).thaw();
+      harness.pickHost(next.host).thaw();
       return;
     case 'lose-chunk':
-      world.pickHost(next.host).chunksToLose++;
+      harness.pickHost(next.host).chunksToDrop++;
       return;
     case 'target':
-      world.pickHost(next.host).mode = next.mode;
+      harness.pickHost(next.host).mode = next.mode;
       return;
     case 'restart-gate':
-      world.restartGate(next.gate);
+      harness.restartGate(next.gate);
       return;
     case 'publish':
-      world.publishTargets(next.drop);
+      harness.publishTargets(next.drop);
       return;
     case 'apply':
-      world.applyRecord(next.gate, next.host);
+      harness.applyRecord(next.gate, next.host);
       return;
     case 'wait':
-      await world.advance(next.ms, advanceTimers);
+      await harness.advance(next.ms, advanceTimers);
   }
 }
 
-function checkRequest(world: World, sent: SentRequest): void {
+function checkRequest(harness: ProtocolHarness, sent: SentRequest): void {
   const {result} = sent;
-  // Nothing lost: every request has a final answer.
+  // Every request has a final answer.
   expect(result).not.toEqual(undefined);
   if (result === undefined) return;
-  // Nothing doubled.
-  if (sent.notRepeatable) expect(world.countRuns(sent)).toBeLessThanOrEqual(1);
-  // No false "not run".
+  // A request that is not repeatable runs at most once.
+  if (sent.notRepeatable)
+    expect(harness.countRuns(sent)).toBeLessThanOrEqual(1);
+  // A request that was reported as not run has not run.
   if (
     result.status === 'not-run' ||
     (result.status === 'deadline' && !result.ran)
   )
-    expect(world.countRuns({requestId: sent.requestId})).toEqual(0);
-  // A whole answer, of one run: every piece once, in order, in one wording.
+    expect(harness.countRuns({requestId: sent.requestId})).toEqual(0);
+  // A complete answer has every chunk once and in order, all with one letter:
+  // targets generate different letters, so chunks of two runs would differ.
   if (result.status === 'done')
     expect(sent.text).toEqual(renderAnswer(sent.text.slice(0, 1)));
 }
 
 const renderAnswer = (letter: string) =>
-  Array.from({length: ANSWER_PIECES}, (_, seq) => `${letter}${seq}`).join('');
+  Array.from({length: ANSWER_CHUNKS}, (_, seq) => `${letter}${seq}`).join('');
 
-describe('core protocol under any order of faults (property)', () => {
+describe('dispatch protocol under random faults (property)', () => {
   beforeEach(() => {
     mock.timers.enable({apis: ['setTimeout', 'Date'], now: 1_700_000_000_000});
   });
@@ -167,24 +173,25 @@
     mock.timers.reset();
   });
 
-  it('loses nothing, doubles nothing, and says "not run" only of what did not run', async () => {
-    // Callers send and retry requests while agents, gates and targets fail and
-    // the pool changes, in any order.
+  it('answers every request, runs non-repeatable ones at most once and reports "not run" truthfully', async () => {
+    // Callers send and retry requests while agents, gates, links and targets fail
+    // and the targets of the pool change, in random order.
     await fc.assert(
       fc.asyncProperty(fc.array(step, {maxLength: 40}), async steps => {
-        const world = new World(HOSTS, GATES);
-        let sincePublish = 0;
+        const harness = new ProtocolHarness(HOSTS, GATES);
+        let msSincePublish = 0;
         for (const next of steps) {
-          await runStep(world, next);
-          if (next.do === 'publish') sincePublish = 0;
-          if (next.do === 'wait') sincePublish += next.ms;
-          if (sincePublish >= CONFIG_BOUND_MS) world.settleRecord();
+          await runStep(harness, next);
+          if (next.do === 'publish') msSincePublish = 0;
+          if (next.do === 'wait') msSincePublish += next.ms;
+          if (msSincePublish >= CONFIG_PROPAGATION_MS)
+            harness.applyRecordEverywhere();
         }
-        // Some requests meet their deadline at a frozen host; then all wake.
-        await world.advance(SETTLE_MS, advanceTimers, 100);
-        for (let i = 0; i < HOSTS; i++) world.pickHost(i).thaw();
-        await world.advance(SETTLE_MS, advanceTimers, 100);
-        for (const sent of world.sent) checkRequest(world, sent);
+        // Some requests reach their deadline at a frozen host; then all hosts thaw.
+        await harness.advance(SETTLE_MS, advanceTimers, 100);
+        for (let i = 0; i < HOSTS; i++) harness.pickHost(i).thaw();
+        await harness.advance(SETTLE_MS, advanceTimers, 100);
+        for (const sent of harness.sent) checkRequest(harness, sent);
       }),
       {
         numRuns: Number(process.env.NUTMEGGAUGE_RUNS ?? 500),
--- a/packages/nutmeggauge/src/soak/check.test.ts
+++ b/packages/nutmeggauge/src/soak/check.test.ts
@@ -62,13 +62,13 @@
   body: buildStream(STREAM_EVENTS),
 };
 
-describe('findViolations', () => {
+describe('invariant checks of the soak', () => {
   it('reports no violation for a call and a stream that were answered completely', () => {
     expect(listViolatedInvariants({})).toEqual([]);
     expect(listViolatedInvariants({records: [STREAM_RECORD]})).toEqual([]);
   });
 
-  it('reports an unanswered request unless its gate was down or had time to stop', () => {
+  it('reports an unanswered request unless its gate was down or had time to stop before', () => {
     const lost = {
       ...SERVED_RECORD,
       status: undefined,
--- a/packages/nutmeggauge/src/soak/cluster-soak.test.ts
+++ b/packages/nutmeggauge/src/soak/cluster-soak.test.ts
@@ -60,7 +60,7 @@
   return {fault, beganAt, endedAt: beganAt + 2 * fault.forMs};
 }
 
-describe('findClusterViolations', () => {
+describe('invariant checks of the soak with agents', () => {
   it('reports a request without an answer but not one that was refused', () => {
     expect(listViolatedInvariants({})).toEqual(['answered']);
     expect(
@@ -117,7 +117,7 @@
 /** Longest time by which a fault may outlast the load, in ms. */
 const TOLERANCE_MS = 20;
 
-describe('buildRandomFaults', () => {
+describe('random fault schedule of a cluster', () => {
   const options = {
     seed: 7,
     gates: ['gate-1'],
--- a/packages/nutmeggauge/src/soak/faulty-link.test.ts
+++ b/packages/nutmeggauge/src/soak/faulty-link.test.ts
@@ -6,7 +6,7 @@
 import {FaultyLink} from './faulty-link.js';
 import type {Server, Socket} from 'node:net';
 
-describe('FaultyLink', () => {
+describe('faulty TCP link', () => {
   let target: Server;
   let accepted: Promise<Socket>;
   let link: FaultyLink;
--- a/packages/nutmeggauge/src/soak/soak-harness.ts
+++ b/packages/nutmeggauge/src/soak/soak-harness.ts
@@ -10,7 +10,7 @@
   TargetStandin,
   buildConfigDocument,
 } from '@nutmeggauge/platform';
-import {startBusy} from '../faults/busy.js';
+import {startCpuLoad} from '../faults/busy.js';
 import {FaultyLink} from './faulty-link.js';
 import {GateProcess} from './gate-process.js';
 import type {TargetRun} from '@nutmeggauge/platform';
@@ -155,7 +155,7 @@
           this.gates.forEach(gate => gate.process.kill()),
         );
       case 'busy':
-        return startBusy();
+        return startCpuLoad();
       case 'store':
         this.store.mode = action.mode;
         return () => (this.store.mode = 'up');
--- a/packages/nutmeggauge/src/soak/soak.test.ts
+++ b/packages/nutmeggauge/src/soak/soak.test.ts
@@ -32,7 +32,7 @@
   {seed: 3, restores: 0, gateStops: 3},
 ];
 
-describe('buildSchedule', () => {
+describe('fault schedule of the soak', () => {
   it('builds the same faults for the same seed and none in the fault-free time at the end', () => {
     const faults = buildSchedule(7, SIZES);
     expect(buildSchedule(7, SIZES)).toEqual(faults);
@@ -56,7 +56,7 @@
   });
 });
 
-describe('soak of direct gates', () => {
+describe('soak', () => {
   // Regression seeds run without restores and gate stops, as when each seed
   // revealed its fault.
   const regressions = REGRESSION_SEEDS.map(({seed}) => ({
--- a/packages/nutmeggauge/src/test/frozen-agent.ts
+++ b/packages/nutmeggauge/src/test/frozen-agent.ts
@@ -1,6 +1,6 @@
 /**
- * A fake agent for tests: it accepts a gate's link, sends heartbeats, and
- * never answers `dispatch`, as an agent that froze mid-request.
+ * A fake agent for tests that accepts a gate's connection and sends heartbeats
+ * but never answers `dispatch`, like an agent that freezes during a request.
  */
 import {createServer} from 'node:net';
 import {RpcMethod, createRpcLink, openListener} from '@nutmeggauge/core';
@@ -20,7 +20,7 @@
       dispatches++;
       return new Promise(() => {});
     });
-    const beat = () =>
+    const sendHeartbeat = () =>
       link.notify(RpcMethod.load, {
         draining: false,
         queued: 0,
@@ -28,8 +28,8 @@
         pendingByClass: [0, 0, 0, 0],
         pendingDecodeTokens: 0,
       });
-    beat();
-    const timer = setInterval(beat, 100);
+    sendHeartbeat();
+    const timer = setInterval(sendHeartbeat, 100);
     link.onClose(() => clearInterval(timer));
   });
   const port = await openListener(server, {host: '127.0.0.1', port: 0});
--- a/packages/nutmeggauge/src/test/gate-lines.ts
+++ b/packages/nutmeggauge/src/test/gate-lines.ts
@@ -1,16 +1,16 @@
-/** Lines of gates' decision logs, and files of them, for tests. */
+/** Builds lines of gates' decision logs and writes log files, for tests. */
 import {mkdirSync, mkdtempSync, rmSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
 
-/** Fields of a line. */
+/** Fields of a log line. */
 export type LineFields = Readonly<Record<string, unknown>>;
 
-/** Wall clock at the start of the tests' logs, in ms. */
+/** Timestamp at which the logs of tests start, in ms since the epoch. */
 export const T0 = 1_800_000_000_000;
 
 /**
- * Builds a line of `g1`, `ms` after the start.
+ * Builds a log line that gate `g1` writes `ms` after the start of the log.
  *
  * @example
  * buildLine(0, 'gate_started', {zone: 'a'});
@@ -24,7 +24,7 @@
 }
 
 /**
- * Builds the line of a stream that was sent to engines.
+ * Builds the log line of a stream that was placed on engines.
  *
  * @example
  * buildPlaced(10, 'q', {tokens: 90_000, helpers: ['e2']});
@@ -48,7 +48,7 @@
 }
 
 /**
- * Builds the line of a stream that ended.
+ * Builds the log line of a stream that ended.
  *
  * @example
  * buildEnded(900, 'q', {ms: 900, ttftMs: 400});
@@ -73,25 +73,25 @@
   });
 }
 
-let root: string | undefined;
-let folders = 0;
+let rootFolder: string | undefined;
+let folderCount = 0;
 
-/** A new folder, removed with all others when the process ends. */
+/** Creates a folder that is removed when the process ends. */
 function createFolder(): string {
-  if (root === undefined) {
+  if (rootFolder === undefined) {
     const created = mkdtempSync(join(tmpdir(), 'losses-'));
     process.once('exit', () => rmSync(created, {recursive: true}));
-    root = created;
+    rootFolder = created;
   }
-  const folder = join(root, String(++folders));
+  const folder = join(rootFolder, String(++folderCount));
   mkdirSync(folder);
   return folder;
 }
 
 /**
- * Writes a file into a folder of its own.
+ * Writes a file into a new folder.
  *
- * @returns Its path.
+ * @returns Path of the file.
  * @example
  * writeTestFile('all.log', 'text');
  */
@@ -102,9 +102,9 @@
 }
 
 /**
- * Writes a log; strings are written as they are.
+ * Writes a log file; lines given as strings are written unchanged.
  *
- * @returns Its path.
+ * @returns Path of the file.
  * @example
  * writeLog([buildLine(0, 'gate_started'), '{"t": 12']);
  */
--- a/packages/nutmeggauge/src/test/world.ts
+++ b/packages/nutmeggauge/src/test/protocol-harness.ts
@@ -1,7 +1,8 @@
 /**
- * A small world for property tests: real dispatchers and real intakes, with
- * links, targets and clocks under the test's control. No sockets; time moves
- * only when the test says so (node:test's mock timers).
+ * Test harness for property tests of the protocol between gates and agents:
+ * real dispatchers and agent-side request handling, with links, targets and
+ * clocks under the test's control. Uses no sockets; time advances only through
+ * node:test's mock timers.
  */
 import {setImmediate as waitImmediate} from 'node:timers/promises';
 import {
@@ -40,26 +41,26 @@
 } from '@nutmeggauge/gate';
 
 export const POOL = 'pool';
-/** Tokens of every answer. */
-export const ANSWER_PIECES = 3;
-/** Time a target takes for one piece, in ms. */
-const PIECE_MS = 20;
+/** Number of chunks in every answer; each chunk has one token. */
+export const ANSWER_CHUNKS = 3;
+/** Time that a target takes per chunk, in ms. */
+const CHUNK_MS = 20;
 const DEADLINE_MS = 2000;
-/** How long keys are honoured in this world, in ms. */
+/** Time for which agents retain idempotency keys, in ms. */
 const RETAIN_MS = 60_000;
 
-/** What a target does with the next requests. */
+/** How a target treats the requests that it receives from now on. */
 export type TargetMode = 'answer' | 'refuse' | 'die-after-running';
 
-/** The pool's targets as of one version of the record. */
-interface TargetsVersion {
+/** Target ids of the pool in one version of the configuration record. */
+interface VersionedTargets {
   readonly version: number;
   readonly ids: readonly string[];
 }
 
-/** One process life's target client; a killed process runs nothing more. */
-class WorldTarget extends TargetClient {
-  isDead = false;
+/** Target client of one agent incarnation; runs nothing once the agent is killed. */
+class HarnessTarget extends TargetClient {
+  isKilled = false;
 
   constructor(private readonly host: Host) {
     super('world');
@@ -70,7 +71,7 @@
     sink: ChunkSink,
     signal: AbortSignal,
   ): Promise<DispatchOutcome> {
-    if (this.isDead) return new Promise(() => {});
+    if (this.isKilled) return new Promise(() => {});
     if (this.host.mode === 'refuse')
       return {status: 'not-run', reason: 'target_rejected'};
     this.host.runs.push({
@@ -80,57 +81,57 @@
     if (this.host.mode === 'die-after-running')
       return {status: 'unknown', reason: 'target_failed'};
     const letter = /^\D+/.exec(request.resume?.text ?? '')?.[0] ?? this.host.id;
-    for (let seq = request.resume?.fromSeq ?? 0; seq < ANSWER_PIECES; seq++) {
-      await new Promise(resolve => setTimeout(resolve, PIECE_MS));
+    for (let seq = request.resume?.fromSeq ?? 0; seq < ANSWER_CHUNKS; seq++) {
+      await new Promise(resolve => setTimeout(resolve, CHUNK_MS));
       if (signal.aborted) return {status: 'unknown', reason: 'cancelled'};
       sink(seq, `${letter}${seq}`);
     }
-    return {status: 'done', chunks: ANSWER_PIECES, tokens: 3, cachedTokens: 0};
+    return {status: 'done', chunks: ANSWER_CHUNKS, tokens: 3, cachedTokens: 0};
   }
 }
 
-/** A target host: its agent's process life, and what its target ran. */
+/** A target host: the current incarnation of its agent, and the requests its target ran. */
 class Host {
   mode: TargetMode = 'answer';
   isFrozen = false;
   isCut = false;
-  /** Chunks that its links lose next, as a faulty relay between would. */
-  chunksToLose = 0;
+  /** Number of chunks that the links to this host drop next, like a faulty relay. */
+  chunksToDrop = 0;
   readonly runs: Array<{readonly requestId: string; readonly key?: string}> =
     [];
-  intake!: Intake;
-  /** Breaks every link of the present life. */
-  private life = new AbortController();
-  private target!: WorldTarget;
+  dispatchHandler!: Intake;
+  /** Aborted when the current incarnation of the agent is killed, to close its links. */
+  private incarnationController = new AbortController();
+  private target!: HarnessTarget;
   private ownership!: KeyOwnership;
   private waiting: Array<() => void> = [];
-  private record: TargetsVersion;
+  private record: VersionedTargets;
 
   constructor(
     readonly id: string,
-    record: TargetsVersion,
+    record: VersionedTargets,
     bornAt: number,
   ) {
     this.record = record;
-    this.startLife(bornAt);
+    this.startIncarnation(bornAt);
   }
 
-  get lifeSignal(): AbortSignal {
-    return this.life.signal;
+  get incarnationSignal(): AbortSignal {
+    return this.incarnationController.signal;
   }
 
-  /** Kills the agent; a new one starts with an empty ledger. */
-  restart(record: TargetsVersion): void {
-    this.target.isDead = true;
-    this.life.abort();
-    this.life = new AbortController();
+  /** Kills the agent and starts a new incarnation with an empty ledger. */
+  restart(record: VersionedTargets): void {
+    this.target.isKilled = true;
+    this.incarnationController.abort();
+    this.incarnationController = new AbortController();
     this.isFrozen = false;
     this.waiting = [];
     this.record = record;
-    this.startLife(Date.now() + CLOCK_SKEW_MS);
+    this.startIncarnation(Date.now() + CLOCK_SKEW_MS);
   }
 
-  applyRecord(record: TargetsVersion): void {
+  applyRecord(record: VersionedTargets): void {
     if (record.version <= this.record.version) return;
     this.record = record;
     this.ownership.applyTargets(POOL, record.ids, Date.now());
@@ -141,8 +142,8 @@
     for (const wake of this.waiting.splice(0)) wake();
   }
 
-  /** Resolves once the host is not frozen. */
-  async waitAwake(): Promise<void> {
+  /** Resolves once the host is not frozen any more. */
+  async waitUntilThawed(): Promise<void> {
     if (!this.isFrozen) return;
     await new Promise<void>(resolve => this.waiting.push(resolve));
   }
@@ -151,19 +152,19 @@
     request: DispatchRequest,
     onChunk: (notice: ChunkNotice) => void,
   ): Promise<DispatchOutcome> {
-    await this.waitAwake();
-    return this.intake.dispatch(request, this, onChunk);
+    await this.waitUntilThawed();
+    return this.dispatchHandler.dispatch(request, this, onChunk);
   }
 
-  private startLife(bornAt: number): void {
-    this.target = new WorldTarget(this);
+  private startIncarnation(bornAt: number): void {
+    this.target = new HarnessTarget(this);
     this.ownership = createKeyOwnership({
       targetId: this.id,
       bornAt,
       retainMs: RETAIN_MS,
     });
     this.ownership.applyTargets(POOL, this.record.ids, Date.now());
-    this.intake = new Intake({
+    this.dispatchHandler = new Intake({
       target: this.target,
       lanes: createLanes({short: 2, long: 1}),
       ledger: createLedger({retainMs: RETAIN_MS}),
@@ -176,8 +177,8 @@
   }
 }
 
-/** A gate's link to one host. */
-class WorldLink implements TargetLink {
+/** Link from a gate to the agent of one host. */
+class HarnessLink implements TargetLink {
   readonly zone = 'az-1';
   readonly outstanding = 0;
   readonly load = undefined;
@@ -200,21 +201,22 @@
   ): Promise<DispatchOutcome> {
     const {host} = this;
     if (host.isCut) throw new TargetUnreachableError({}, 'link is cut');
-    const life = host.lifeSignal;
-    const silenceMs =
+    const incarnationSignal = host.incarnationSignal;
+    const responseTimeoutMs =
       host.isFrozen && bounds.acceptMs !== undefined
         ? bounds.acceptMs
         : bounds.answerMs;
-    let isOver = false;
+    let hasEnded = false;
     const deliver = (notice: ChunkNotice) => {
-      if (host.chunksToLose > 0) {
-        host.chunksToLose--;
+      if (host.chunksToDrop > 0) {
+        host.chunksToDrop--;
         return;
       }
-      if (!isOver && !life.aborted && !host.isCut) onChunk(notice);
+      if (!hasEnded && !incarnationSignal.aborted && !host.isCut)
+        onChunk(notice);
     };
     const answer = host.receive(request, deliver).then(async outcome => {
-      await host.waitAwake();
+      await host.waitUntilThawed();
       if (host.isCut) throw new RpcClosedError({}, 'link was cut');
       return outcome;
     });
@@ -223,34 +225,34 @@
       return await Promise.race([
         answer,
         new Promise<never>((_resolve, reject) =>
-          life.addEventListener('abort', () =>
+          incarnationSignal.addEventListener('abort', () =>
             reject(new RpcClosedError({}, 'agent was killed')),
           ),
         ),
         new Promise<never>((_resolve, reject) =>
           setTimeout(
             () => reject(new RpcFailedError({}, 'no answer')),
-            silenceMs,
+            responseTimeoutMs,
           ),
         ),
       ]);
     } finally {
-      isOver = true;
+      hasEnded = true;
     }
   }
 
   cancel(requestId: string): void {
-    if (!this.host.isCut) this.host.intake.cancel(requestId);
+    if (!this.host.isCut) this.host.dispatchHandler.cancel(requestId);
   }
 }
 
-/** A gate: one dispatcher and the record it holds. */
-class WorldGate implements TargetDirectory {
+/** A gate with its dispatcher and the configuration record that it holds. */
+class HarnessGate implements TargetDirectory {
   readonly dispatcher: Dispatcher;
 
   constructor(
     private readonly hosts: ReadonlyMap<string, Host>,
-    public record: TargetsVersion,
+    public record: VersionedTargets,
   ) {
     this.dispatcher = createDispatcher({
       directory: this,
@@ -264,18 +266,18 @@
 
   listUsable(): TargetLink[] {
     return this.record.ids
-      .map(id => new WorldLink(this.hosts.get(id) as Host))
+      .map(id => new HarnessLink(this.hosts.get(id) as Host))
       .filter(link => link.isUsable);
   }
 
   async findHome(_pool: string, key: string): Promise<TargetLink | undefined> {
     const id = findHome(this.record.ids, key);
     const host = id === undefined ? undefined : this.hosts.get(id);
-    return host === undefined || host.isCut ? undefined : new WorldLink(host);
+    return host === undefined || host.isCut ? undefined : new HarnessLink(host);
   }
 }
 
-/** One request and what its caller was told. */
+/** One request with the result and the text that its caller received. */
 export interface SentRequest {
   readonly requestId: string;
   readonly key?: string;
@@ -284,23 +286,23 @@
   text: string;
 }
 
-/** Kinds of request a caller sends. */
+/** Kinds of requests: repeatable, not repeatable by rule, or with an idempotency key. */
 export type RequestKind = 'repeatable' | 'rule' | 'keyed';
 
 /**
- * Hosts, gates and callers of one run of a property.
+ * Runs the hosts, gates and callers of one run of a property.
  *
  * @example
- * const world = new World(3, 2);
- * world.send(0, 'keyed', 0);
- * await world.advance(500);
+ * const harness = new ProtocolHarness(3, 2);
+ * harness.send(0, 'keyed', 0);
+ * await harness.advance(500, ms => mock.timers.tick(ms));
  */
-export class World {
+export class ProtocolHarness {
   readonly hosts = new Map<string, Host>();
   readonly sent: SentRequest[] = [];
-  private gates: WorldGate[];
-  private record: TargetsVersion;
-  private readonly mintedAt = new Map<number, number>();
+  private gates: HarnessGate[];
+  private record: VersionedTargets;
+  private readonly keyCreationTimes = new Map<number, number>();
 
   constructor(hostCount: number, gateCount: number) {
     const ids = [...'abcdefgh'].slice(0, hostCount);
@@ -309,23 +311,23 @@
       this.hosts.set(id, new Host(id, this.record, -Infinity));
     this.gates = Array.from(
       {length: gateCount},
-      () => new WorldGate(this.hosts, this.record),
+      () => new HarnessGate(this.hosts, this.record),
     );
   }
 
-  /** The host with index `i`, wrapping round. */
+  /** Returns the host with index `i`, modulo the number of hosts. */
   pickHost(i: number): Host {
     const all = [...this.hosts.values()];
     return all[i % all.length];
   }
 
-  /** Sends a request; the same `keyIndex` again is the caller's retry. */
+  /** Sends a request; repeating the `keyIndex` of a keyed request is the caller's retry. */
   send(gateIndex: number, kind: RequestKind, keyIndex: number): void {
     const gate = this.gates[gateIndex % this.gates.length];
     const requestId = `r${this.sent.length}`;
     const isKeyed = kind === 'keyed';
-    if (isKeyed && !this.mintedAt.has(keyIndex))
-      this.mintedAt.set(keyIndex, Date.now());
+    if (isKeyed && !this.keyCreationTimes.has(keyIndex))
+      this.keyCreationTimes.set(keyIndex, Date.now());
     const ledgerKey = isKeyed ? `key-${keyIndex}` : requestId;
     const sent: SentRequest = {
       requestId,
@@ -343,12 +345,12 @@
         pool: POOL,
         kind: 'generate',
         prompt: 'p',
-        maxTokens: ANSWER_PIECES,
+        maxTokens: ANSWER_CHUNKS,
         deadlineAt: Date.now() + DEADLINE_MS,
         notRepeatable: sent.notRepeatable,
         ledgerKey: sent.notRepeatable ? ledgerKey : undefined,
         keyed: isKeyed,
-        keyMintedAt: isKeyed ? this.mintedAt.get(keyIndex) : undefined,
+        keyMintedAt: isKeyed ? this.keyCreationTimes.get(keyIndex) : undefined,
         recordVersion: gate.record.version,
       },
       route: {promptTokens: 1, maxTokens: 3, isLong: false, prefixes: []},
@@ -363,19 +365,22 @@
     });
   }
 
-  /** A gate process dies and a new one takes its place. */
+  /** Replaces a gate by a new one that holds the newest record. */
   restartGate(i: number): void {
-    this.gates[i % this.gates.length] = new WorldGate(this.hosts, this.record);
+    this.gates[i % this.gates.length] = new HarnessGate(
+      this.hosts,
+      this.record,
+    );
   }
 
-  /** The operator takes a target out of the pool, or back in. */
+  /** Publishes a record with all targets, or without the target at index `drop`. */
   publishTargets(drop: number | undefined): void {
     const all = [...this.hosts.keys()];
     const ids = all.filter((_id, i) => i !== drop);
     this.record = {version: this.record.version + 1, ids};
   }
 
-  /** Gate `i` and host `j` accept the newest record. */
+  /** Applies the newest record to one gate and to one host. */
   applyRecord(gateIndex: number, hostIndex: number): void {
     this.gates[gateIndex % this.gates.length].record = this.record;
     this.pickHost(hostIndex).applyRecord(this.record);
@@ -385,13 +390,13 @@
     this.pickHost(i).restart(this.record);
   }
 
-  /** Everyone holds the newest record, as the bound of configuration says. */
-  settleRecord(): void {
+  /** Applies the newest record to all gates and hosts, as after its propagation bound. */
+  applyRecordEverywhere(): void {
     for (const gate of this.gates) gate.record = this.record;
     for (const host of this.hosts.values()) host.applyRecord(this.record);
   }
 
-  /** Runs of the not-repeatable request with this key or id. */
+  /** Counts the runs of requests with this key or, without a key, with this id. */
   countRuns(match: {
     readonly key?: string;
     readonly requestId?: string;
@@ -405,7 +410,7 @@
       ).length;
   }
 
-  /** Moves time on in small steps, letting every task run in between. */
+  /** Advances time by `ms` in small steps and lets pending tasks run after each step. */
   async advance(
     ms: number,
     tick: (stepMs: number) => void,
--- a/packages/nutmeggauge/src/test/stack.ts
+++ b/packages/nutmeggauge/src/test/stack.ts
@@ -1,6 +1,6 @@
 /**
  * An in-process deployment for tests: stand-ins, agents and a gate in one
- * process on loopback ports picked by the system.
+ * process, on loopback ports chosen by the operating system.
  */
 import {request} from 'undici';
 import {AgentSettingsSchema, createAgent} from '@nutmeggauge/agent';
@@ -32,11 +32,11 @@
   readonly engines: EngineStandIn[];
   readonly plain: PlainServiceStandIn[];
   readonly agents: Agent[];
-  /** Kills the agent of target `index` and starts a new process life on its port. */
+  /** Closes the agent of target `index` and starts a new incarnation on the same port. */
   restartAgent(index: number): Promise<void>;
-  /** The host list of the platform; the gate reads it every 50 ms. */
+  /** Stand-in of the platform's host list; the gate reads it every 50 ms. */
   readonly hostList: HostListStandIn;
-  /** The record published at start, with version. */
+  /** Configuration record that was published at the start, with its version. */
   readonly record: Record<string, unknown>;
   close(): Promise<void>;
 }
@@ -44,12 +44,12 @@
 export interface StackOptions {
   readonly engines?: number;
   readonly plain?: number;
-  /** Options of engine `index`. */
+  /** Returns the options of the engine with this index. */
   readonly engine?: (index: number) => Partial<EngineOptions>;
-  /** Settings of every agent, over the tests' own. */
+  /** Settings of every agent that override those of the stack. */
   readonly agent?: Readonly<Record<string, unknown>>;
   readonly resumable?: boolean;
-  /** Targets of each pool that the gate links to; 0 for all. */
+  /** Number of targets of each pool that the gate connects to; 0 for all. */
   readonly subsetSize?: number;
   readonly routing?: string;
 }
@@ -187,10 +187,10 @@
   };
 }
 
-/** Headers that authenticate the tests' account. */
+/** Headers that authenticate client account `acct-a`. */
 export const TEST_AUTH = {authorization: `Bearer ${TEST_KEY}`};
 
-/** Places a not-repeatable order with an Idempotency-Key. */
+/** Places a non-repeatable order with an Idempotency-Key. */
 export function placeOrder(stack: Stack, key: string) {
   return postJson(
     `${stack.gateUrl}/v1/services/orders/place-order`,
@@ -199,14 +199,14 @@
   );
 }
 
-/** Times the order with `key` ran, over all order services. */
+/** Counts the runs of the order with `key` at all plain services. */
 export function countRuns(stack: Stack, key: string): number {
   return stack.plain
     .flatMap(service => service.executions)
     .filter(execution => execution.ledgerKey === `acct-a:${key}`).length;
 }
 
-/** Index among the plain services of the home of the order with `key`. */
+/** Returns the index of the plain service that is the home of the order with `key`. */
 export function findHomeIndex(stack: Stack, key: string): number {
   const ids = stack.plain.map((_service, i) => `plain-${i + 1}`);
   return ids.indexOf(findHome(ids, `acct-a:${key}`) ?? '');
@@ -220,7 +220,7 @@
   return (await response.body.json()) as T;
 }
 
-/** Which targets the gate would route to, by id. */
+/** Reads which targets are usable according to the gate, by target id. */
 export async function readUsable(
   stack: Stack,
 ): Promise<Record<string, boolean>> {
@@ -230,7 +230,7 @@
   return Object.fromEntries(targets.map(t => [t.id, t.usable]));
 }
 
-/** Publishes the stack's record with other targets in the chat pool. */
+/** Publishes the record with changed chat targets and returns its version. */
 export function publishChatTargets(
   stack: Stack,
   change: (targets: readonly object[]) => readonly object[],
@@ -243,7 +243,7 @@
   return stack.config.publish({...stripVersion(stack.record), pools});
 }
 
-/** Starts a gate on the configuration service at `configUrl` and waits for `version`. */
+/** Starts a gate and waits until it holds `version` and every target is usable. */
 export async function startTestGate(
   configUrl: string,
   version: number,
@@ -281,7 +281,7 @@
   return gate;
 }
 
-/** A copy of a published record without its `version`, ready to publish again. */
+/** Copies a published record without its `version`, so that the copy can be published. */
 export function stripVersion(
   record: Readonly<Record<string, unknown>>,
 ): Record<string, unknown> {
@@ -290,24 +290,25 @@
   );
 }
 
-/** Polls `check` every 10 ms until it holds; fails after `timeoutMs`. */
+/** Polls `check` every 10 ms until it returns true; throws after `timeoutMs`. */
 export async function waitUntil(
   check: () => boolean | Promise<boolean>,
   timeoutMs = 5000,
 ): Promise<void> {
   const giveUpAt = Date.now() + timeoutMs;
   while (!(await check())) {
-    if (Date.now() > giveUpAt) throw new Error('condition not reached');
+    if (Date.now() > giveUpAt)
+      throw new Error('condition not met before the timeout');
     await waitMs(10);
   }
 }
 
-/** Streams a completion; calls `onPiece` after each piece with the count so far. */
+/** Streams a completion; calls `onChunk` after each text chunk with the count so far. */
 export async function streamCompletion(
   gateUrl: string,
   body: object,
   headers: Record<string, string>,
-  onPiece: (count: number) => void = () => {},
+  onChunk: (count: number) => void = () => {},
   signal?: AbortSignal,
 ): Promise<{
   status: number;
@@ -338,18 +339,18 @@
     else {
       text += (JSON.parse(data) as {choices: Array<{text: string}>}).choices[0]
         .text;
-      onPiece(++count);
+      onChunk(++count);
     }
   }
   return {status: 200, text, done, error};
 }
 
-/** The whole answer an engine stand-in of letter `letter` gives for `n` tokens. */
+/** Renders the complete text that an engine stand-in with this letter generates for `n` tokens. */
 export function renderWholeAnswer(n: number, letter = 't'): string {
   return Array.from({length: n}, (_, i) => ` ${letter}${i}`).join('');
 }
 
-/** Waits until the gate has `version` and every target is usable. */
+/** Waits until the gate holds `version` or a newer one and every target is usable. */
 export async function waitForGate(gate: Gate, version: number): Promise<void> {
   await waitUntil(async () => {
     const {record} = await readAdmin<{record: {version: number}}>(
@@ -364,7 +365,7 @@
   }, 10_000);
 }
 
-/** Posts JSON to the gate and returns status, headers and parsed body. */
+/** Posts JSON and returns status, headers and body of the response, parsed if it is JSON. */
 export async function postJson(
   url: string,
   body: unknown,
@@ -372,7 +373,7 @@
 ): Promise<{
   status: number;
   headers: Record<string, unknown>;
-  // Tests read answers field by field; a schema per answer would only restate them.
+  // Tests read single fields of responses; a schema per response would only repeat them.
   // eslint-disable-next-line @typescript-eslint/no-explicit-any
   body: any;
 }> {
@@ -386,7 +387,7 @@
   try {
     parsed = JSON.parse(text);
   } catch {
-    // SSE or empty bodies stay text
+    // Event streams and empty bodies are returned as text.
   }
   return {status: response.statusCode, headers: response.headers, body: parsed};
 }
