--- a/packages/nutmeggauge/src/spec/import-circles.test.ts
+++ b/packages/nutmeggauge/src/spec/import-circles.test.ts
@@ -4,7 +4,7 @@
 import {expect} from 'earl';
 import ts from 'typescript';
 
-/** Modules that each module of a folder imports by a path, types too. */
+/** Returns each module of a folder with its relative imports, type imports included. */
 function readImports(folder: string): ReadonlyMap<string, readonly string[]> {
   const files = readdirSync(folder, {recursive: true, encoding: 'utf8'})
     .filter(name => name.endsWith('.ts'))
@@ -21,45 +21,46 @@
   );
 }
 
-/** Finds one circle; empty when there is none. */
-function findCircle(
+/** Finds one import cycle; returns an empty list if there is none. */
+function findCycle(
   imports: ReadonlyMap<string, readonly string[]>,
 ): readonly string[] {
   const done = new Set<string>();
-  const step = (file: string, way: readonly string[]): readonly string[] => {
-    const at = way.indexOf(file);
-    if (at >= 0) return [...way.slice(at), file];
+  const visit = (file: string, chain: readonly string[]): readonly string[] => {
+    const at = chain.indexOf(file);
+    if (at >= 0) return [...chain.slice(at), file];
     if (done.has(file)) return [];
     for (const next of imports.get(file) ?? []) {
-      const circle = step(next, [...way, file]);
-      if (circle.length > 0) return circle;
+      const cycle = visit(next, [...chain, file]);
+      if (cycle.length > 0) return cycle;
     }
     done.add(file);
     return [];
   };
   for (const file of imports.keys()) {
-    const circle = step(file, []);
-    if (circle.length > 0) return circle;
+    const cycle = visit(file, []);
+    if (cycle.length > 0) return cycle;
   }
   return [];
 }
 
-describe('import circles', () => {
-  // Modules that import each other cannot be understood or tested apart.
+describe('import cycles', () => {
+  // Guards against modules that import each other, directly or through others:
+  // such modules cannot be understood or tested separately.
   const packages = readdirSync('packages').map(name => join('packages', name));
   for (const folder of [...packages, 'platform'])
-    it(`${folder} has none`, () => {
+    it(`finds no cycle between the modules of ${folder}`, () => {
       const imports = readImports(join(folder, 'src'));
       expect(imports.size > 0).toEqual(true);
-      expect(findCircle(imports)).toEqual([]);
+      expect(findCycle(imports)).toEqual([]);
     });
 
-  it('are found', () => {
+  it('finds a cycle that does not contain the first module', () => {
     const imports = new Map([
       ['a', ['b']],
       ['b', ['c']],
       ['c', ['b']],
     ]);
-    expect(findCircle(imports)).toEqual(['b', 'c', 'b']);
+    expect(findCycle(imports)).toEqual(['b', 'c', 'b']);
   });
 });
--- a/packages/nutmeggauge/src/spec/known-red.test.ts
+++ b/packages/nutmeggauge/src/spec/known-red.test.ts
@@ -6,9 +6,9 @@
 import {expect} from 'earl';
 
 const FILE = 'packages/a/dist/b.test.js';
-const ENTRY = `${FILE}: keeps its word; issue 1\n`;
+const LIST_ENTRY = `${FILE}: rejects an empty body; issue 1\n`;
 
-/** Renders a failed test as node's runner reports it. */
+/** Renders a failed test in the TAP output of Node's test runner. */
 function renderFailure(name: string, failureType = 'testCodeFailure'): string {
   return [
     `    not ok 1 - ${name}`,
@@ -20,7 +20,7 @@
   ].join('\n');
 }
 
-describe('list of known failures', () => {
+describe('check of failures against KNOWN-RED.txt', () => {
   const folder = mkdtempSync(join(tmpdir(), 'nutmeggauge-red-'));
   after(() => rmSync(folder, {recursive: true}));
 
@@ -36,26 +36,28 @@
     return {status, stdout};
   }
 
-  it('passes over a listed test and prints its entry', () => {
+  it('accepts a run whose only failed test is listed, and prints the entry', () => {
     const report =
-      renderFailure('keeps its word') +
-      renderFailure('the suite around it', 'subtestsFailed');
-    expect(checkReport(report, ENTRY)).toEqual({
+      renderFailure('rejects an empty body') +
+      renderFailure('the enclosing suite', 'subtestsFailed');
+    expect(checkReport(report, LIST_ENTRY)).toEqual({
       status: 0,
-      stdout: `known red: ${ENTRY}`,
+      stdout: `known red: ${LIST_ENTRY}`,
     });
   });
 
-  it('passes over no other test of the same file', () => {
-    // Guards against a new failure that a listed one hides.
+  it('rejects a run in which an unlisted test of the same file failed too', () => {
+    // Guards against a new failure hidden by a listed one, when the name of the
+    // listed test is a prefix of the other name.
     const report =
-      renderFailure('keeps its word') + renderFailure('keeps its word too');
-    const {status, stdout} = checkReport(report, ENTRY);
+      renderFailure('rejects an empty body') +
+      renderFailure('rejects an empty body too');
+    const {status, stdout} = checkReport(report, LIST_ENTRY);
     expect(status).toEqual(1);
-    expect(stdout).toInclude(`red: ${FILE}: keeps its word too\n`);
+    expect(stdout).toInclude(`red: ${FILE}: rejects an empty body too\n`);
   });
 
-  it('passes over no run that failed without a failed test', () => {
-    expect(checkReport('1..3\n', ENTRY).status).toEqual(1);
+  it('rejects a failed run whose report contains no failed test', () => {
+    expect(checkReport('1..3\n', LIST_ENTRY).status).toEqual(1);
   });
 });
--- a/packages/nutmeggauge/src/spec/model-check.test.ts
+++ b/packages/nutmeggauge/src/spec/model-check.test.ts
@@ -10,22 +10,24 @@
   readonly spec:
     'at-most-once' | 'direct-once' | 'drain' | 'facts-relay' | 'fencing';
   readonly defines?: readonly string[];
-  /** Name of the LTL property to check; absent checks the assertions. */
+  /** Name of the LTL property to check; if absent, the assertions are checked. */
   readonly ltl?: string;
-  /** Whatever can go on does so at some time. */
+  /** Whether to assume weak fairness: a process that stays executable eventually runs. */
   readonly isFair?: boolean;
 }
 
-/** Runs spin's exhaustive check; returns the number of errors. */
+/** Runs spin's exhaustive verification and returns the number of errors. */
 function checkSpec({spec, defines = [], ltl, isFair}: SpecRun): number {
   const dir = mkdtempSync(join(tmpdir(), 'ng-spin-'));
   const source = new URL(`../../../../spec/${spec}.pml`, import.meta.url);
   copyFileSync(fileURLToPath(source), join(dir, 'model.pml'));
   execFileSync('spin', ['-a', ...defines, 'model.pml'], {cwd: dir});
-  const compile = ltl === undefined ? ['-DSAFETY'] : ['-DNFAIR=4'];
-  execFileSync('gcc', ['-O2', ...compile, '-o', 'pan', 'pan.c'], {cwd: dir});
-  const fair = isFair ? ['-f'] : [];
-  const run = ltl === undefined ? [] : ['-a', ...fair, '-N', ltl];
+  const compileFlags = ltl === undefined ? ['-DSAFETY'] : ['-DNFAIR=4'];
+  execFileSync('gcc', ['-O2', ...compileFlags, '-o', 'pan', 'pan.c'], {
+    cwd: dir,
+  });
+  const fairnessFlags = isFair ? ['-f'] : [];
+  const run = ltl === undefined ? [] : ['-a', ...fairnessFlags, '-N', ltl];
   let report: string;
   try {
     report = execFileSync('./pan', ['-m100000', ...run], {
@@ -39,75 +41,76 @@
   return Number(/errors: (\d+)/.exec(report)?.[1] ?? -1);
 }
 
-describe('model check of dispatch at most once (spin)', () => {
-  it('finds no double run and no false not-run in any interleaving', () => {
+describe('spin model of at-most-once dispatch', () => {
+  it('has no double run and no false not-run in any interleaving', () => {
     expect(checkSpec({spec: 'at-most-once'})).toEqual(0);
   });
 
-  it('finds the double run when a keyed request may move to another agent after not-run', () => {
-    // Mutation: the first call runs away from its home agent, the retry at
-    // home.
+  it('has a double run if a keyed request is retried at another agent after not-run', () => {
+    // Mutation: the first call runs at an agent that is not its home, the retry
+    // at the home agent.
     const defines = ['-DKEYED_RETRY'];
     expect(checkSpec({spec: 'at-most-once', defines})).toEqual(1);
   });
 
-  it('finds the double run when the home is chosen among usable targets', () => {
-    // Mutation: the home runs the order and dies; the retry finds another home.
+  it('has a double run if the home agent is chosen among usable targets only', () => {
+    // Mutation: the home agent runs the order and dies; the retry is sent to
+    // another agent, which is then chosen as the home.
     const defines = ['-DHOME_AMONG_USABLE'];
     expect(checkSpec({spec: 'at-most-once', defines})).toEqual(1);
   });
 
-  it('finds the double run when a restarted agent trusts its empty ledger', () => {
+  it('has a double run if a restarted agent trusts its empty ledger', () => {
     const defines = ['-DFORGET_RESTART'];
     expect(checkSpec({spec: 'at-most-once', defines})).toEqual(1);
   });
 });
 
-describe('model check of fenced orders (spin)', () => {
-  it('an engine that ignores fences ends up at the newest record', () => {
+describe('spin model of fenced orders to an engine', () => {
+  it('brings an engine that ignores fences to the newest record for good', () => {
     expect(checkSpec({spec: 'fencing', ltl: 'settles'})).toEqual(0);
   });
 
-  it('an engine that refuses old fences never goes back', () => {
+  it('never sets an engine that refuses lower fences back to an older record', () => {
     const defines = ['-DREFUSE'];
     expect(checkSpec({spec: 'fencing', defines, ltl: 'settles'})).toEqual(0);
     expect(checkSpec({spec: 'fencing', defines, ltl: 'refused'})).toEqual(0);
   });
 
-  it('finds the late order that stands for good when agents compare only once', () => {
-    // Mutation: the old agent confirms, is suspended, and orders after its
-    // replacement.
+  it('leaves an outdated order in force if agents do not repeat their orders', () => {
+    // Mutation: the old agent confirms its record, is suspended, and sends its
+    // order after the replacement has sent the newer one.
     const defines = ['-DNO_ROUNDS'];
     expect(checkSpec({spec: 'fencing', defines, ltl: 'settles'})).toEqual(1);
   });
 });
 
-describe('model check of a drain (spin)', () => {
-  it('cuts off no request and runs none that came late', () => {
+describe('spin model of an agent drain', () => {
+  it('cuts off no request and runs none that arrived after the drain began', () => {
     expect(checkSpec({spec: 'drain'})).toEqual(0);
   });
 
-  it('finds the lost request when the agent closes at once', () => {
+  it('loses a request if the agent closes without waiting for open requests', () => {
     expect(checkSpec({spec: 'drain', defines: ['-DCLOSE_AT_ONCE']})).toEqual(1);
   });
 
-  it('finds the late run when a draining agent still takes requests', () => {
+  it('runs a late request if a draining agent still accepts requests', () => {
     const defines = ['-DTAKE_WHILE_DRAINING'];
     expect(checkSpec({spec: 'drain', defines})).toEqual(1);
   });
 });
 
-describe('model check of one request at a direct gate (spin)', () => {
-  it('finds no double run and no false not-run, whatever targets do', () => {
+describe('spin model of an at-most-once request at a direct gate', () => {
+  it('has no double run and no false not-run, whatever the targets do', () => {
     expect(checkSpec({spec: 'direct-once'})).toEqual(0);
   });
 
-  it('finds the double run when a request is sent again after a reset', () => {
+  it('has a double run if a request is retried after a connection reset', () => {
     const defines = ['-DRETRY_AFTER_RESET'];
     expect(checkSpec({spec: 'direct-once', defines})).toEqual(1);
   });
 
-  it('finds the false not-run when a reset is taken for a refusal', () => {
+  it('has a false not-run if a connection reset is reported as not run', () => {
     const defines = ['-DPROMISE_AFTER_RESET'];
     expect(checkSpec({spec: 'direct-once', defines})).toEqual(1);
   });
@@ -115,30 +118,31 @@
 
 const SETTLES: SpecRun = {spec: 'facts-relay', ltl: 'settles', isFair: true};
 
-describe('model check of facts handed between gates (spin)', () => {
-  it('takes no gate back and brings the newest to one that is cut off', () => {
+describe('spin model of facts relayed between gates', () => {
+  it('sets no gate back to older facts and brings the newest to a gate without the store', () => {
     expect(checkSpec({spec: 'facts-relay'})).toEqual(0);
     expect(checkSpec(SETTLES)).toEqual(0);
   });
 
-  it('finds the gate that goes back when it takes whatever comes last', () => {
+  it('sets a gate back to older facts if the gate applies whatever arrives last', () => {
     const defines = ['-DTRUST_ANY'];
     expect(checkSpec({spec: 'facts-relay', defines})).toEqual(1);
   });
 
-  it('finds the gate that never learns when gates do not hand facts on', () => {
+  it('leaves a gate without the newest facts if gates do not relay facts', () => {
     const defines = ['-DNO_RELAY'];
     expect(checkSpec({...SETTLES, defines})).toEqual(1);
   });
 
-  it('brings both gates to a store that comes back older', () => {
+  it('brings both gates to the facts of a store restored from an older copy', () => {
     const defines = ['-DRESTORE'];
     expect(checkSpec({spec: 'facts-relay', defines})).toEqual(0);
     expect(checkSpec({...SETTLES, defines})).toEqual(0);
   });
 
-  it('finds the gate that never learns when it compares revisions alone', () => {
-    // Mutation: a revision that was given out again looks known.
+  it('leaves a gate without the newest facts if the gate ignores the era of a revision', () => {
+    // Mutation: the restored store reuses a revision number, which the gate takes
+    // for the revision that it knows already.
     const defines = ['-DRESTORE', '-DIGNORE_ERA'];
     expect(checkSpec({...SETTLES, defines})).toEqual(1);
   });
--- a/spec/at-most-once.pml
+++ b/spec/at-most-once.pml
@@ -1,26 +1,25 @@
 /*
- * The core protocol of nutmeggauge: dispatch of one not-repeatable request
- * with an Idempotency-Key, sent by the caller twice (the first call and its
- * retry, through two gates), to agents that each keep an at-most-once ledger
- * in memory in front of their target.
+ * Model of the dispatch protocol: one non-repeatable request with an
+ * Idempotency-Key, which the caller sends twice (the first call and a retry,
+ * through two gates) to agents. Each agent keeps an at-most-once ledger in
+ * memory in front of its target.
  *
- * An agent answers NOTRUN only before it hands the request to its target;
- * once it has claimed the key it answers DONE or UNKNOWN (it may crash or
- * lose the reply after the target ran). A gate may also lose its link
- * before sending, which it treats as NOTRUN without the agent seeing it.
- * The home agent may die for good or restart with an empty ledger at any
- * moment; the caller sends its retry after it has made its key, so a
- * restarted agent can tell that the key is older than its ledger.
+ * An agent answers NOTRUN only before it passes the request to its target.
+ * Once the agent has claimed the key it answers DONE, or UNKNOWN if it crashes
+ * or if the reply is lost after the run. A gate may also lose its link before
+ * sending, which the gate treats as NOTRUN although the agent saw nothing.
+ * The home agent may die for good or restart with an empty ledger at any time.
+ * The key is created before the retry is sent, so a restarted agent can tell
+ * that the key is older than its ledger.
  *
  * Properties (assertions):
- *   - the target side runs the request at most once in all;
- *   - a gate that answers NOTRUN had no run of its own copy.
+ *   - the targets run the request at most once in total;
+ *   - if a gate answers NOTRUN, its copy of the request has not run.
  *
- * Each define brings back a rule that was broken once; spin finds a double
- * run with it:
- *   KEYED_RETRY        a gate moves the request on after the home's NOTRUN
- *   HOME_AMONG_USABLE  the home is found among the targets usable now
- *   FORGET_RESTART     a restarted agent takes its empty ledger for the truth
+ * Each define removes one rule of the protocol; spin then finds a double run:
+ *   KEYED_RETRY        a gate retries at another agent after the home's NOTRUN
+ *   HOME_AMONG_USABLE  the home is chosen among the targets usable now
+ *   FORGET_RESTART     a restarted agent trusts its empty ledger
  */
 #define NAGENTS 2
 #define NGATES 2
@@ -50,29 +49,29 @@
   do
   :: toAgent[id]?DISPATCH,from ->
      if
-     :: isDown[id] -> toGate[from]!UNKNOWN       /* the link closes after sending */
+     :: isDown[id] -> toGate[from]!UNKNOWN       /* the link closes after the send */
      :: !isDown[id] && claimed[id] ->
-        toGate[from]!UNKNOWN                     /* ledger hit: never run twice */
+        toGate[from]!UNKNOWN                     /* ledger hit: never runs twice */
      :: !isDown[id] && !claimed[id] && !ledgerKnows(id) ->
-        toGate[from]!UNKNOWN                     /* the key is older than this ledger */
+        toGate[from]!UNKNOWN                     /* the key is older than the ledger */
      :: !isDown[id] && !claimed[id] && ledgerKnows(id) ->
         if
-        :: toGate[from]!NOTRUN                   /* refused before the target: provably not run */
-        :: claimed[id] = true;                   /* claim written before the target sees it */
+        :: toGate[from]!NOTRUN                   /* refused before the target saw it: provably not run */
+        :: claimed[id] = true;                   /* the claim is recorded before the target sees the request */
            if
            :: atomic { runs++; runsFor[from]++ };
               if
               :: toGate[from]!DONE
-              :: toGate[from]!UNKNOWN            /* reply lost after the run */
+              :: toGate[from]!UNKNOWN            /* the reply is lost after the run */
               fi
-           :: toGate[from]!UNKNOWN               /* crashed after the claim, before the run */
+           :: toGate[from]!UNKNOWN               /* crash after the claim, before the run */
            fi
         fi
      fi
   od
 }
 
-/* Kills or restarts agents; an agent that restarts has lost its ledger. */
+/* Kills the home agent, or restarts it with an empty ledger. */
 proctype Faults() {
   if
   :: isDown[HOME] = true
@@ -85,7 +84,7 @@
   if
   :: toAgent[target]!DISPATCH,g;
      toGate[g]?answer
-  :: answer = NOTRUN                             /* link down before sending */
+  :: answer = NOTRUN                             /* the link is down before the send */
   fi
 }
 
@@ -104,12 +103,12 @@
      askAgent(target);
      if
      :: answer == DONE -> break
-     :: answer == UNKNOWN -> break               /* may have run: never resend */
+     :: answer == UNKNOWN -> break               /* may have run: no retry */
      :: answer == NOTRUN ->
 #ifdef KEYED_RETRY
         target++
 #else
-        answeredNotRun[g] = true; break          /* tell the caller; only the home agent may run it */
+        answeredNotRun[g] = true; break          /* reported to the caller; only the home agent may run the request */
 #endif
      fi
   :: target >= NAGENTS -> answeredNotRun[g] = true; break
--- a/spec/direct-once.pml
+++ b/spec/direct-once.pml
@@ -1,15 +1,16 @@
 /*
- * One request that may run at most once on its way through a direct gate.
- * The gate may send it to a second target only where the first provably did
- * not run it: the connection was never opened, or the target says so. Targets
- * run a request, refuse it, or die before or after it has run; what was sent
- * may be run after the gate has given up on it.
+ * Model of an at-most-once request through a direct gate. The gate may send
+ * the request to a second target only if the first provably did not run it:
+ * the connection was never opened, or the target answered so. A target runs
+ * the request, refuses it, or dies before or after running it; a request that
+ * was sent may still run after the gate has stopped waiting for the answer.
  *
  * Properties (assertions):
- *   - it runs at most once;
- *   - a caller that was told "not run" is right, also later on.
+ *   - the request runs at most once;
+ *   - after the caller was told "not run", the request has not run and never will.
  *
- * RETRY_AFTER_RESET and PROMISE_AFTER_RESET bring the faults back.
+ * With RETRY_AFTER_RESET the gate retries after a connection reset; with
+ * PROMISE_AFTER_RESET it reports a reset as "not run". Each violates a property.
  */
 #define NTARGETS 2
 #define MAX_ATTEMPTS 2
@@ -29,9 +30,9 @@
      if
      :: toGate[t]!NOTRUN
      :: atomic { runs++; toGate[t]!DONE }
-     :: atomic { runs++; toGate[t]!RESET }    /* ran, its answer is lost */
-     :: toGate[t]!RESET                       /* died before it ran */
-     :: toGate[t]!RESET; runs++               /* cut off, and runs it late */
+     :: atomic { runs++; toGate[t]!RESET }    /* runs, but the answer is lost */
+     :: toGate[t]!RESET                       /* dies before the run */
+     :: toGate[t]!RESET; runs++               /* is cut off and runs the request later */
      fi
   od
 }
--- a/spec/drain.pml
+++ b/spec/drain.pml
@@ -1,14 +1,17 @@
 /*
- * Drain of one agent while two gates send to it. The agent's drain tells
- * every gate, refuses what still arrives as NOTRUN, finishes what it has
- * taken on, and closes. A gate may have a request on the wire when it hears.
+ * Model of the drain of one agent while two gates send requests to it. The
+ * draining agent notifies every gate, refuses new requests with NOTRUN, finishes
+ * the requests that it has accepted, and closes. A gate may have a request on
+ * the wire when the notification arrives.
  *
  * Properties (assertions):
- *   - a request that the agent took on is finished before it closes;
- *   - a request that came after the drain began is not run;
- *   - every gate gets an answer to every request it sent.
+ *   - an accepted request is finished before the agent closes;
+ *   - a request that arrives after the drain began is not run;
+ *   - every gate gets an answer to every request that it sent.
  *
- * CLOSE_AT_ONCE and TAKE_WHILE_DRAINING bring the faults back.
+ * With CLOSE_AT_ONCE the agent closes without waiting for requests; with
+ * TAKE_WHILE_DRAINING it accepts requests during the drain. Each violates a
+ * property.
  */
 #define NGATES 2
 #define NREQUESTS 2
@@ -52,8 +55,8 @@
 #ifndef CLOSE_AT_ONCE
   inFlight == 0;
 #endif
-  /* The agent closes once no request is left on any link: what a gate sent
-     before it heard of the drain has been answered by then. */
+  /* The agent closes once no request is left on any link, so requests sent
+     before a gate was notified of the drain have been answered by then. */
 #ifndef CLOSE_AT_ONCE
   atomic { answered == NGATES * NREQUESTS -> isClosed = true }
 #else
--- a/spec/facts-relay.pml
+++ b/spec/facts-relay.pml
@@ -1,24 +1,25 @@
 /*
- * Positions of configuration and targets (era, then revision), from a store
- * that can only be read to two gates that hand them to each other. The link of
- * gate 1 to the store is cut for good after a while; answers of the store and
- * of the other gate may be overtaken by newer ones. A gate may restart and then
- * knows nothing; with RESTORE, the store comes back once from a copy without
- * the newest write instead, in the next era, its writer writes again, and gate
- * 1 is cut off from the start.
+ * Model of how positions of configuration and targets (era, then revision)
+ * spread from a read-only store to two gates that also relay them to each
+ * other. The link of gate 1 to the store is cut for good after some time.
+ * Answers of the store and of the other gate may arrive after newer answers. A
+ * gate may restart and then knows nothing. With RESTORE, gates do not restart:
+ * the store is restored once from a copy that lacks the newest write, in the
+ * next era, the write is repeated, and gate 1 is cut off from the start.
  *
  * Properties:
- *   - a gate never goes back behind what it has acted on (assertion);
- *   - settles: in the end both gates know the newest revision (LTL).
+ *   - a gate never returns to a position older than the one it knows (assertion);
+ *   - settles: eventually both gates know the newest revision for good (LTL).
  *
- * TRUST_ANY (a gate takes whatever arrives last), NO_RELAY (gates do not hand
- * facts on) and IGNORE_ERA (revisions alone are compared) bring the faults back.
+ * Each of these defines violates a property: TRUST_ANY (a gate applies whatever
+ * arrives last), NO_RELAY (gates do not relay positions), and IGNORE_ERA with
+ * RESTORE (gates compare revisions only).
  */
 #define NEWEST 2
 #define ERA 4
 #define REVISION(position) ((position) % ERA)
 
-/* Era times ERA, plus the revision. */
+/* Position of the store's newest write: the era times ERA, plus the revision. */
 byte stored = 1;
 #ifdef RESTORE
 #define SETTLED (ERA + NEWEST)
@@ -33,7 +34,7 @@
 #endif
 byte known[2];
 
-/* Answers on their way, each with the position at which it was made. */
+/* Answers in flight, each with the position that was current when it was sent. */
 chan fromStore[2] = [1] of {byte};
 chan fromPeer[2] = [1] of {byte};
 
@@ -71,11 +72,11 @@
   od
 }
 
-/* Time goes on when nothing else does: fairness is judged on endless runs. */
+/* Runs forever, so that every execution is infinite, which fairness checks need. */
 bool tick;
 active proctype Clock() { end: do :: tick = !tick od }
 
-/* What is sent to one gate: an answer is made, and arrives some time later. */
+/* Sends positions of the store and of the other gate to one gate. */
 proctype Sources(byte g) {
   end:
   do
--- a/spec/fencing.pml
+++ b/spec/fencing.pml
@@ -1,20 +1,21 @@
 /*
- * Orders to one engine from two agents of the same slot: one that holds an
- * old record and may pause at any point, and its replacement with the newest
- * record. The operator publishes version 2 while the old agent still holds
- * version 1. The engine carries out what arrives; an engine of mode REFUSE
- * turns down fences lower than the highest it has seen.
+ * Model of orders to one engine from two agents of the same slot: an old agent
+ * that holds an outdated record and may be suspended at any point, and its
+ * replacement, which holds the newest record. The operator publishes version 2
+ * while the old agent still holds version 1. The engine applies every order
+ * that arrives; with REFUSE it rejects fences (fencing tokens) lower than the
+ * highest that it has seen.
  *
- * Before an order an agent confirms with the configuration service that its
- * record is the newest. It may pause between the confirmation and the order,
- * so an engine that ignores fences can still be set back for a moment; the
- * replacement's next round puts it right.
+ * Before an order, an agent confirms with the configuration service that its
+ * record is the newest. The agent may be suspended between the confirmation and
+ * the order, so an engine that ignores fences can be set back temporarily; the
+ * next periodic order of the replacement corrects this.
  *
  * Properties (LTL):
- *   - settles: the engine ends up at the newest version and stays there;
- *   - refused (REFUSE only): once set by version 2 it never goes back.
+ *   - settles: the engine reaches the newest version and stays there;
+ *   - refused (REFUSE only): once at version 2, the engine never goes back.
  *
- * NO_ROUNDS takes the rounds away: the late order then stands for good.
+ * NO_ROUNDS removes the periodic orders: an outdated order then stays in force.
  */
 byte published = 1;
 byte engine = 0;
@@ -40,10 +41,10 @@
 
 active proctype OldAgent() {
   byte confirmed;
-  confirmed = published;                        /* the service is asked */
+  confirmed = published;                        /* asks the configuration service */
   if
-  :: confirmed == 1 -> order(1)                 /* a pause may lie before this */
-  :: else -> skip                               /* its record is old: no order */
+  :: confirmed == 1 -> order(1)                 /* the agent may be suspended before this order */
+  :: else -> skip                               /* the record is outdated: no order */
   fi;
   isOldDone = true
 }
