--- a/packages/nutmeggauge/src/soak/check.test.ts
+++ b/packages/nutmeggauge/src/soak/check.test.ts
@@ -68,7 +68,7 @@
     expect(listViolatedInvariants({records: [STREAM_RECORD]})).toEqual([]);
   });
 
-  it('reports an unanswered request unless its gate was down or had time to stop before', () => {
+  it('reports an unanswered request unless its gate was down or had been told to stop in time', () => {
     const lost = {
       ...SERVED_RECORD,
       status: undefined,
--- a/packages/nutmeggauge/src/soak/cluster-soak.test.ts
+++ b/packages/nutmeggauge/src/soak/cluster-soak.test.ts
@@ -73,7 +73,7 @@
     expect(listViolatedInvariants({faults})).toEqual(['answered']);
   });
 
-  it('excuses a missing answer only if the gate of the request was killed meanwhile', () => {
+  it('excuses a missing answer if its gate was killed meanwhile but not if another gate was', () => {
     const killed = (name: string) => [buildPlayedFault('kill', name, 10_100)];
     expect(listViolatedInvariants({faults: killed('gate-2')})).toEqual([]);
     expect(listViolatedInvariants({faults: killed('gate-1')})).toEqual([
@@ -137,11 +137,11 @@
   for (const {seed} of CLUSTER_REGRESSION_SEEDS)
     it(`violates no invariant under the faults of seed ${seed}`, async () => {
       const runDir = mkdtempSync(join(tmpdir(), 'nutmeggauge-soak-'));
-      const cliWords = ['soak', '--agents', '--gates', '2'];
+      const cliArgs = ['soak', '--agents', '--gates', '2'];
       try {
         const {stdout} = await execFileAsync(process.execPath, [
           'packages/nutmeggauge/dist/bin.js',
-          ...cliWords,
+          ...cliArgs,
           ...['--seed', String(seed), '--length-ms', String(SEED_LENGTH_MS)],
           ...['--run-dir', runDir],
         ]);
--- a/packages/nutmeggauge/src/soak/regression-seeds.ts
+++ b/packages/nutmeggauge/src/soak/regression-seeds.ts
@@ -1,4 +1,4 @@
-/** Regression seeds of the soaks: each once revealed a fault, whose cause is named. */
+/** Seeds with which a soak has revealed a fault, and the cause of each fault. */
 
 /** A seed and the cause of the fault that it revealed. */
 export interface RegressionSeed {
--- a/packages/nutmeggauge/src/soak/run-soaks.ts
+++ b/packages/nutmeggauge/src/soak/run-soaks.ts
@@ -44,7 +44,7 @@
 }
 
 function runSeedInChild(series: SoakSeries, seed: number): Promise<boolean> {
-  const cliWords = [
+  const cliArgs = [
     ...[process.argv[1], 'soak', '--seed', String(seed)],
     ...['--gates', String(series.gates), '--targets', String(series.targets)],
     ...['--length-ms', String(series.lengthMs)],
@@ -54,7 +54,7 @@
     ...(series.hasTiming ? [] : ['--no-timing']),
     ...(series.hasAgents ? ['--agents'] : []),
   ];
-  const child = spawn(process.execPath, cliWords, {stdio: 'inherit'});
+  const child = spawn(process.execPath, cliArgs, {stdio: 'inherit'});
   return new Promise(resolve =>
     child.once('exit', code => resolve(code === 0)),
   );
--- a/packages/nutmeggauge/src/soak/schedule.ts
+++ b/packages/nutmeggauge/src/soak/schedule.ts
@@ -110,7 +110,7 @@
  * Builds the fault schedule of a seed.
  *
  * @example
- * buildSchedule(7, {gates: 3, targets: 6, lengthMs: 12_000, restores: 2});
+ * buildSchedule(7, {gates: 3, targets: 6, lengthMs: 12_000, restores: 2, gateStops: 2});
  */
 export function buildSchedule(
   seed: number,
--- a/packages/nutmeggauge/src/soak/soak-harness.ts
+++ b/packages/nutmeggauge/src/soak/soak-harness.ts
@@ -53,7 +53,7 @@
  * Runs one system under test and injects faults into it.
  *
  * @example
- * const harness = new SoakWorld('runs/soak-7', 3, 6, 15_000);
+ * const harness = new SoakHarness('runs/soak-7', 3, 6, 15_000);
  * await harness.start();
  */
 export class SoakHarness {
--- a/packages/nutmeggauge/src/soak/soak.test.ts
+++ b/packages/nutmeggauge/src/soak/soak.test.ts
@@ -69,11 +69,11 @@
       const runDir = mkdtempSync(join(tmpdir(), 'nutmeggauge-soak-'));
       // Time bounds are off because CI may be busy. The soak runs in a child
       // process so that everything it started ends with it.
-      const cliWords = ['soak', '--seed', String(seed), '--no-timing'];
+      const cliArgs = ['soak', '--seed', String(seed), '--no-timing'];
       try {
         const {stdout} = await execFileAsync(process.execPath, [
           'packages/nutmeggauge/dist/bin.js',
-          ...cliWords,
+          ...cliArgs,
           ...['--restores', String(restores)],
           ...['--gate-stops', String(gateStops), '--run-dir', runDir],
         ]);
--- a/packages/nutmeggauge/src/spec/model-check.test.ts
+++ b/packages/nutmeggauge/src/spec/model-check.test.ts
@@ -54,8 +54,8 @@
   });
 
   it('has a double run if the home agent is chosen among usable targets only', () => {
-    // Mutation: the home agent runs the order and dies; the retry is sent to
-    // another agent, which is then chosen as the home.
+    // Mutation: the home agent runs the order and dies; for the retry another
+    // agent is chosen as the home and runs the order again.
     const defines = ['-DHOME_AMONG_USABLE'];
     expect(checkSpec({spec: 'at-most-once', defines})).toEqual(1);
   });
--- a/packages/nutmeggauge/src/test/protocol-harness.ts
+++ b/packages/nutmeggauge/src/test/protocol-harness.ts
@@ -390,7 +390,7 @@
     this.pickHost(i).restart(this.record);
   }
 
-  /** Applies the newest record to all gates and hosts, as after its propagation bound. */
+  /** Applies the newest record to all gates and hosts, as the propagation bound ensures. */
   applyRecordEverywhere(): void {
     for (const gate of this.gates) gate.record = this.record;
     for (const host of this.hosts.values()) host.applyRecord(this.record);
--- a/packages/nutmeggauge/src/test/stack.ts
+++ b/packages/nutmeggauge/src/test/stack.ts
@@ -230,7 +230,7 @@
   return Object.fromEntries(targets.map(t => [t.id, t.usable]));
 }
 
-/** Publishes the record with changed chat targets and returns its version. */
+/** Publishes the stack's record with changed chat targets; returns the version. */
 export function publishChatTargets(
   stack: Stack,
   change: (targets: readonly object[]) => readonly object[],
@@ -243,7 +243,7 @@
   return stack.config.publish({...stripVersion(stack.record), pools});
 }
 
-/** Starts a gate and waits until it holds `version` and every target is usable. */
+/** Starts a gate that reads its configuration at `configUrl`, and waits for `version`. */
 export async function startTestGate(
   configUrl: string,
   version: number,
