--- a/packages/nutmeggauge/src/bench/charts.ts
+++ b/packages/nutmeggauge/src/bench/charts.ts
@@ -126,16 +126,16 @@
 const LANES_GRID = {left: 190, right: 20, top: 50, bottom: 70};
 
 /** Share of a lane that its bars fill. */
-const LANE_FILL = 0.8;
+const LANE_FILL_RATIO = 0.8;
 
 /** Draws one bar, cut off at the edges of the plot. */
 const renderSpan: CustomSeriesRenderItem = (params, api) => {
   const [x, y] = api.coord([api.value(0), api.value(2)]);
   const [right] = api.coord([api.value(1), api.value(2)]);
-  const height = LANE_HEIGHT * LANE_FILL;
-  const frame = params.coordSys as unknown as {x: number; width: number};
-  const from = Math.max(x, frame.x);
-  const to = Math.min(Math.max(right, x + 1), frame.x + frame.width);
+  const height = LANE_HEIGHT * LANE_FILL_RATIO;
+  const plotArea = params.coordSys as unknown as {x: number; width: number};
+  const from = Math.max(x, plotArea.x);
+  const to = Math.min(Math.max(right, x + 1), plotArea.x + plotArea.width);
   if (to <= from) return undefined;
   return {
     type: 'rect',
--- a/packages/nutmeggauge/src/bench/experiment.ts
+++ b/packages/nutmeggauge/src/bench/experiment.ts
@@ -93,7 +93,7 @@
 const KEY_LIST_LENGTH = 100;
 
 /** Lists keys so that a uniform draw gives the large accounts their share. */
-function weighKeys(experiment: Experiment): string[] {
+function buildWeightedKeys(experiment: Experiment): string[] {
   const keys = buildAccounts(experiment).map(account => account.key);
   const {largeAccounts, largeShare} = experiment.callers;
   if (largeAccounts === 0 || largeAccounts >= keys.length) return keys;
@@ -106,7 +106,7 @@
 }
 
 /** Which part of the load a run sends. */
-export type LoadPart = 'mixed' | 'short-alone';
+export type LoadPhase = 'mixed' | 'short-alone';
 
 /**
  * Builds the workload of one run.
@@ -116,13 +116,13 @@
  */
 export function buildWorkload(
   experiment: Experiment,
-  part: LoadPart,
+  phase: LoadPhase,
 ): WorkloadSpec {
   const {load, seed} = experiment;
-  const isMixed = part === 'mixed';
+  const isMixed = phase === 'mixed';
   const seconds = isMixed ? load.durationSeconds : load.aloneSeconds;
   const orders = Math.round(load.ordersPerSecond * seconds);
-  const keys = weighKeys(experiment);
+  const keys = buildWeightedKeys(experiment);
   return {
     ...load,
     seed,
--- a/packages/nutmeggauge/src/bench/report.ts
+++ b/packages/nutmeggauge/src/bench/report.ts
@@ -17,13 +17,13 @@
 
 const BUCKET_NAMES = LENGTH_BUCKETS.map(bucket => bucket.name);
 
-type Cell = readonly [title: string, read: (v: VariantResult) => string];
+type Column = readonly [title: string, read: (v: VariantResult) => string];
 
 const formatMs = (value: number) => value.toFixed(0);
 const formatRatio = (value: number) => value.toFixed(2);
 
 /** Columns of the table, one row a variant. */
-const COLUMNS: readonly Cell[] = [
+const COLUMNS: readonly Column[] = [
   ['variant', v => v.name],
   ['HOL p50', v => formatRatio(v.headOfLine.p50)],
   ['HOL p95', v => formatRatio(v.headOfLine.p95)],
--- a/packages/nutmeggauge/src/bench/run-experiment.ts
+++ b/packages/nutmeggauge/src/bench/run-experiment.ts
@@ -16,11 +16,11 @@
 import type {LatencySummary} from '@nutmeggauge/core';
 import type {LocalCluster} from '../cluster/local-cluster.js';
 import type {RunSummary} from '../load/summary.js';
-import type {Experiment, LoadPart, Variant} from './experiment.js';
+import type {Experiment, LoadPhase, Variant} from './experiment.js';
 import type {RoleUsage} from './usage-sampler.js';
 
 /** TTFT under mixed load over TTFT alone, at two percentiles. */
-export interface HeadOfLine {
+export interface HeadOfLineSlowdown {
   readonly p50: number;
   readonly p95: number;
 }
@@ -33,9 +33,9 @@
   /** Whole answers within their window, a second of mixed load. */
   readonly goodputPerSecond: number;
   /** TTFT of short prompts under mixed load over the same alone. */
-  readonly headOfLine: HeadOfLine;
+  readonly headOfLine: HeadOfLineSlowdown;
   /** The same for prompts of 1k to 8k tokens only. */
-  readonly headOfLineShortest: HeadOfLine;
+  readonly headOfLineShortest: HeadOfLineSlowdown;
   /** Processor time and memory of the gates and agents under mixed load. */
   readonly usage: Readonly<Record<string, RoleUsage>>;
 }
@@ -58,10 +58,10 @@
 const SHORTEST_BUCKET = LENGTH_BUCKETS[0].name;
 
 /** Pause between two loads on one cluster, so that the first one's end is over, in ms. */
-const PAUSE_MS = 500;
+const SETTLE_MS = 500;
 
 /** Requests between two lines of progress. */
-const PROGRESS_EVERY = 500;
+const PROGRESS_INTERVAL = 500;
 
 /**
  * Runs every variant of an experiment, one after the other.
@@ -84,7 +84,10 @@
   return {experiment, startedAt, variants};
 }
 
-function compareTtft(mixed: LatencySummary, alone: LatencySummary): HeadOfLine {
+function compareTtft(
+  mixed: LatencySummary,
+  alone: LatencySummary,
+): HeadOfLineSlowdown {
   return {p50: mixed.p50 / alone.p50, p95: mixed.p95 / alone.p95};
 }
 
@@ -114,10 +117,10 @@
     const accounts = buildAccounts(experiment);
     await cluster.publish(buildDemoRecord(cluster.targets, accounts));
     await cluster.waitUntilReady();
-    const load = (part: LoadPart) =>
-      runLoad(experiment, cluster, part, {...options, runDir});
+    const load = (phase: LoadPhase) =>
+      runLoad(experiment, cluster, phase, {...options, runDir});
     const alone = await load('short-alone');
-    await waitMs(PAUSE_MS);
+    await waitMs(SETTLE_MS);
     const sampler = new UsageSampler(cluster.listPids());
     await sampler.start();
     const [mixed] = await Promise.all([
@@ -146,10 +149,10 @@
 async function runLoad(
   experiment: Experiment,
   cluster: LocalCluster,
-  part: LoadPart,
+  phase: LoadPhase,
   options: RunExperimentOptions,
 ): Promise<RunSummary> {
-  const workload = buildWorkload(experiment, part);
+  const workload = buildWorkload(experiment, phase);
   const plan = planWorkload(workload);
   const results = await runPlan(plan, {
     gateUrls: cluster.gateUrls,
@@ -157,8 +160,8 @@
     sharedPrefixTokens: workload.sharedPrefixTokens,
     distanceMs: experiment.callers.distanceMs,
     onResult: (_result, done, total) => {
-      if (done % PROGRESS_EVERY === 0 || done === total)
-        options.print(`  ${part}: ${done}/${total}`);
+      if (done % PROGRESS_INTERVAL === 0 || done === total)
+        options.print(`  ${phase}: ${done}/${total}`);
     },
   });
   return summarizeRun(plan, results, readExecutions(options.runDir));
--- a/packages/nutmeggauge/src/load/client.ts
+++ b/packages/nutmeggauge/src/load/client.ts
@@ -61,7 +61,7 @@
 }
 
 /** Time past its window after which a caller gives a request up, in ms. */
-const GIVE_UP_MS = 10_000;
+const TIMEOUT_SLACK_MS = 10_000;
 
 /** Whole-answer check: the stand-in engines emit ` t0 t1 …` in order. */
 function isWholeAnswer(text: string, expected: number): boolean {
@@ -77,7 +77,7 @@
 }
 
 /** What is left to trace a lost request by: its caller alone saw it. */
-function describeBreak(
+function describeFailure(
   options: CallerOptions,
   startedAt: number,
   error: unknown,
@@ -98,7 +98,7 @@
   };
 }
 
-function describeSend({gateUrl}: CallerOptions, index: number) {
+function buildResultBase({gateUrl}: CallerOptions, index: number) {
   return {index, gateUrl, sentAt: readClockMs(), gapsMs: []};
 }
 
@@ -120,8 +120,8 @@
       ...headers,
     },
     body: JSON.stringify(body),
-    headersTimeout: options.deadlineMs + GIVE_UP_MS,
-    bodyTimeout: options.deadlineMs + GIVE_UP_MS,
+    headersTimeout: options.deadlineMs + TIMEOUT_SLACK_MS,
+    bodyTimeout: options.deadlineMs + TIMEOUT_SLACK_MS,
     dispatcher: options.dispatcher,
   });
 }
@@ -170,8 +170,8 @@
   maxTokens: number,
 ): Promise<CallerResult> {
   const startedAt = performance.now();
-  const base = {...describeSend(options, index), kind: 'generate' as const};
-  const end = () => performance.now() - startedAt;
+  const base = {...buildResultBase(options, index), kind: 'generate' as const};
+  const readElapsedMs = () => performance.now() - startedAt;
   try {
     const response = await post(options, index, '/v1/completions', {
       model: 'chat',
@@ -186,31 +186,31 @@
         ...toErrorFields(error),
         httpStatus: response.statusCode,
         verdict: judgeError(error),
-        totalMs: end(),
+        totalMs: readElapsedMs(),
       };
     }
     const answer = await readStream(response, startedAt, options.distanceMs);
     const isWhole = answer.isDone && isWholeAnswer(answer.text, maxTokens);
-    const ending = `${answer.isDone ? 'other' : 'no'} end, ${answer.text.length} characters`;
+    const mismatch = `${answer.isDone ? 'other' : 'no'} end, ${answer.text.length} characters`;
     return {
       ...base,
       ...toErrorFields(answer.error),
       brokenBy: isWhole
         ? undefined
-        : describeBreak(options, startedAt, new Error(ending)),
+        : describeFailure(options, startedAt, new Error(mismatch)),
       httpStatus: 200,
       verdict: isWhole ? 'answered' : judgeError(answer.error),
       ttftMs: answer.ttftMs,
       gapsMs: answer.gapsMs,
-      totalMs: end(),
+      totalMs: readElapsedMs(),
     };
   } catch (error) {
-    const brokenBy = describeBreak(options, startedAt, error);
+    const brokenBy = describeFailure(options, startedAt, error);
     return {
       ...base,
       httpStatus: 0,
       verdict: 'broken',
-      totalMs: end(),
+      totalMs: readElapsedMs(),
       brokenBy,
       errorCode: (error as NodeJS.ErrnoException).code,
     };
@@ -229,8 +229,8 @@
   idempotencyKey: string,
 ): Promise<CallerResult> {
   const startedAt = performance.now();
-  const base = {...describeSend(options, index), kind: 'order' as const};
-  const end = () => performance.now() - startedAt;
+  const base = {...buildResultBase(options, index), kind: 'order' as const};
+  const readElapsedMs = () => performance.now() - startedAt;
   try {
     const response = await post(
       options,
@@ -250,15 +250,15 @@
       httpStatus: response.statusCode,
       verdict: isAnswered ? 'answered' : judgeError(body.error),
       slip: body.result?.slip,
-      totalMs: end(),
+      totalMs: readElapsedMs(),
     };
   } catch (error) {
-    const brokenBy = describeBreak(options, startedAt, error);
+    const brokenBy = describeFailure(options, startedAt, error);
     return {
       ...base,
       httpStatus: 0,
       verdict: 'broken',
-      totalMs: end(),
+      totalMs: readElapsedMs(),
       brokenBy,
       errorCode: (error as NodeJS.ErrnoException).code,
     };
--- a/packages/nutmeggauge/src/load/run-plan.ts
+++ b/packages/nutmeggauge/src/load/run-plan.ts
@@ -41,7 +41,7 @@
 }
 
 /** Keys of one run's orders: a caller makes its key when it first sends. */
-class OrderKeys {
+class IdempotencyKeys {
   private readonly byName = new Map<string, string>();
 
   resolve(name: string): string {
@@ -58,9 +58,9 @@
   {gateUrls, isTaking = () => true}: RunOptions,
   position: number,
 ): string {
-  const taking = gateUrls.filter(isTaking);
-  const usable = taking.length === 0 ? gateUrls : taking;
-  return usable[position % usable.length];
+  const inRotation = gateUrls.filter(isTaking);
+  const candidates = inRotation.length === 0 ? gateUrls : inRotation;
+  return candidates[position % candidates.length];
 }
 
 /**
@@ -74,9 +74,9 @@
   options: RunOptions,
 ): Promise<CallerResult[]> {
   const startedAt = performance.now();
-  const keys = new OrderKeys();
+  const keys = new IdempotencyKeys();
   let done = 0;
-  const sends = plan.map(async (planned, position) => {
+  const pendingResults = plan.map(async (planned, position) => {
     await waitMs(Math.max(0, planned.atMs - (performance.now() - startedAt)));
     const caller = {
       gateUrl: pickGate(options, position),
@@ -101,5 +101,5 @@
     options.onResult?.(result, ++done, plan.length);
     return result;
   });
-  return Promise.all(sends);
+  return Promise.all(pendingResults);
 }
--- a/packages/nutmeggauge/src/load/summary.ts
+++ b/packages/nutmeggauge/src/load/summary.ts
@@ -56,20 +56,20 @@
     sent: results.length,
     answered: count('answered'),
     refused: count('refused'),
-    refusedByReason: countReasons(results),
+    refusedByReason: countRefusalReasons(results),
     unknown: count('unknown'),
     lost: count('broken') + (plan.length - results.length),
     losses: results
       .filter(({verdict}) => verdict === 'broken')
       .map(({kind, index, brokenBy}) => `${kind} ${index}: ${brokenBy}`),
-    doubled: countDoubled(executions),
+    doubled: countDuplicates(executions),
     falseNotRun: countFalseNotRun(results, executions),
-    repeatMismatches: countMismatches(byIndex, results),
-    ...recordLatencies(byIndex, results),
+    repeatMismatches: countRepeatMismatches(byIndex, results),
+    ...summarizeLatencies(byIndex, results),
   };
 }
 
-function countReasons(
+function countRefusalReasons(
   results: readonly CallerResult[],
 ): Readonly<Record<string, number>> {
   const reasons: Record<string, number> = {};
@@ -81,7 +81,7 @@
   return reasons;
 }
 
-function countDoubled(executions: readonly ExecutionRecord[]): number {
+function countDuplicates(executions: readonly ExecutionRecord[]): number {
   const runs = new Map<string, number>();
   for (const {ledgerKey} of executions) {
     if (ledgerKey !== undefined)
@@ -94,14 +94,16 @@
   results: readonly CallerResult[],
   executions: readonly ExecutionRecord[],
 ): number {
-  const ran = new Set(executions.map(execution => execution.requestId));
+  const executedIds = new Set(executions.map(execution => execution.requestId));
   return results.filter(
     ({verdict, requestId}) =>
-      verdict === 'refused' && requestId !== undefined && ran.has(requestId),
+      verdict === 'refused' &&
+      requestId !== undefined &&
+      executedIds.has(requestId),
   ).length;
 }
 
-function countMismatches(
+function countRepeatMismatches(
   byIndex: ReadonlyMap<number, PlannedRequest>,
   results: readonly CallerResult[],
 ): number {
@@ -115,7 +117,7 @@
   return [...slips.values()].filter(held => held.size > 1).length;
 }
 
-function recordLatencies(
+function summarizeLatencies(
   byIndex: ReadonlyMap<number, PlannedRequest>,
   results: readonly CallerResult[],
 ): Pick<RunSummary, 'ttftByBucket' | 'shortTtft' | 'gaps'> {
--- a/packages/nutmeggauge/src/load/workload.ts
+++ b/packages/nutmeggauge/src/load/workload.ts
@@ -53,7 +53,7 @@
       readonly atMs: number;
       readonly key: string;
       readonly promptTokens: number;
-      readonly shared: boolean;
+      readonly hasSharedPrefix: boolean;
       readonly maxNewTokens: number;
     }
   | {
@@ -76,11 +76,11 @@
   const draw = () => uniformFloat64(rng);
   const plan: PlannedRequest[] = [];
   let atMs = 0;
-  const longEvery = Math.max(1, Math.round(1 / spec.longShare));
+  const longInterval = Math.max(1, Math.round(1 / spec.longShare));
   for (let index = 0; index < spec.requests; index++) {
     atMs += (-Math.log(1 - draw()) / spec.ratePerSecond) * 1000;
     // Every `longEvery`-th request is long, so short plans still hold the share.
-    const long = index % longEvery === longEvery - 1;
+    const long = index % longInterval === longInterval - 1;
     const low = long ? spec.longThresholdTokens : spec.minPromptTokens;
     const high = long ? spec.maxPromptTokens : spec.longThresholdTokens;
     const promptTokens = Math.round(
@@ -92,13 +92,13 @@
       atMs,
       key: spec.keys[Math.floor(draw() * spec.keys.length)],
       promptTokens,
-      shared: draw() < spec.sharedPrefixShare,
+      hasSharedPrefix: draw() < spec.sharedPrefixShare,
       maxNewTokens: spec.maxNewTokens,
     });
   }
-  const span = Math.max(atMs, 1);
+  const durationMs = Math.max(atMs, 1);
   for (let o = 0; o < spec.orders; o++) {
-    const at = draw() * span;
+    const at = draw() * durationMs;
     const order = {
       kind: 'order',
       index: spec.requests + o,
@@ -130,9 +130,9 @@
   planned: Extract<PlannedRequest, {kind: 'generate'}>,
   sharedPrefixTokens: number,
 ): string {
-  const {promptTokens, index, shared} = planned;
+  const {promptTokens, index, hasSharedPrefix: hasSharedPrefix} = planned;
   const length = promptTokens * CHARS_PER_TOKEN;
-  const prefix = shared
+  const prefix = hasSharedPrefix
     ? 'sys '.repeat(Math.min(promptTokens, sharedPrefixTokens))
     : '';
   return (prefix + `q${index} `).padEnd(length, 'word').slice(0, length);
--- a/packages/nutmeggauge/src/measure/agent-measures.ts
+++ b/packages/nutmeggauge/src/measure/agent-measures.ts
@@ -9,23 +9,23 @@
 import {
   HOST,
   openGateLinks,
-  startPlatform,
+  startLocalStandIns,
   sumControlBytes,
 } from './fixtures.js';
-import {startProbe} from './probe.js';
+import {startMeasuredProcess} from './measured-process.js';
 import {
-  REST_MS,
+  SETTLE_MS,
   STREAM_TOKENS,
   fitCalls,
   fitLinks,
   fitSparseCalls,
   fitStreams,
-  measureStretch,
+  measureInterval,
   sendAtRate,
 } from './role-slopes.js';
 import type {DispatchRequest} from '@nutmeggauge/core';
 import type {Slope} from './fit.js';
-import type {Stretch} from './role-slopes.js';
+import type {IntervalUsage} from './role-slopes.js';
 
 const LINK_COUNTS = [1, 10, 50, 150];
 const CALL_RATES = [1, 10, 40, 120];
@@ -43,15 +43,15 @@
   links: number,
   kind: 'plain' | 'engine' = 'plain',
 ) {
-  const platform = await startPlatform();
+  const standIns = await startLocalStandIns();
   const [port] = await findFreePorts(1);
-  const url = kind === 'plain' ? platform.plainUrl : platform.engineUrl;
-  const agent = await startProbe('agent', runDir, {
+  const url = kind === 'plain' ? standIns.plainUrl : standIns.engineUrl;
+  const agent = await startMeasuredProcess('agent', runDir, {
     id: 'agent-m',
     zone: 'az-1',
     listen: {host: HOST, port},
     target: {kind, url},
-    configService: {url: platform.configUrl},
+    configService: {url: standIns.configUrl},
     ledger: {bootstrap: true},
   });
   const gates = await openGateLinks(links, port);
@@ -64,14 +64,14 @@
     close: async () => {
       gates.close();
       await agent.stop();
-      await platform.close();
+      await standIns.close();
     },
   };
 }
 
 let nextCall = 1;
 
-function buildCall(more: Partial<DispatchRequest> = {}): DispatchRequest {
+function buildCall(overrides: Partial<DispatchRequest> = {}): DispatchRequest {
   return {
     requestId: `m-${nextCall++}`,
     account: 'a',
@@ -84,7 +84,7 @@
     keyed: false,
     recordVersion: 0,
     attempt: 1,
-    ...more,
+    ...overrides,
   };
 }
 
@@ -101,10 +101,10 @@
 function measureLinks(runDir: string): Promise<Slope[]> {
   return fitLinks('agent', LINK_COUNTS, async links => {
     const {agent, readBytes, close} = await startLinkedAgent(runDir, links);
-    const stretch = await measureStretch(agent, readBytes);
+    const usage = await measureInterval(agent, readBytes);
     const {rssMb} = await agent.readUsage();
     await close();
-    return {...stretch, rssMb};
+    return {...usage, rssMb};
   });
 }
 
@@ -112,11 +112,11 @@
 async function measureCalls(
   runDir: string,
   links: number,
-  fit: (measureAt: (rate: number) => Promise<Stretch>) => Promise<Slope>,
+  fit: (measureAt: (rate: number) => Promise<IntervalUsage>) => Promise<Slope>,
 ): Promise<Slope> {
   const {agent, call, readBytes, close} = await startLinkedAgent(runDir, links);
   const slope = await fit(rate =>
-    measureStretch(agent, readBytes, () =>
+    measureInterval(agent, readBytes, () =>
       sendAtRate(rate, i => call(buildCall(), i)),
     ),
   );
@@ -131,7 +131,7 @@
     'engine',
   );
   const slopes = await fitStreams('agent', (rate, prompt) =>
-    measureStretch(agent, readBytes, () =>
+    measureInterval(agent, readBytes, () =>
       sendAtRate(rate, i =>
         call(
           buildCall({kind: 'generate', prompt, maxTokens: STREAM_TOKENS}),
@@ -158,7 +158,7 @@
       await Promise.all(calls);
       held += batch;
     }
-    await waitMs(REST_MS);
+    await waitMs(SETTLE_MS);
     rss.push([keys, (await agent.readUsage()).rssMb]);
   }
   await close();
--- a/packages/nutmeggauge/src/measure/capacity.ts
+++ b/packages/nutmeggauge/src/measure/capacity.ts
@@ -7,7 +7,7 @@
 import type {Measurement} from './measure.js';
 
 /** The size to design for (letter 1). */
-const SIZE = {
+const DESIGN_SIZE = {
   gates: 350,
   targets: 1500,
   requestsPerSecond: 1200,
@@ -18,10 +18,14 @@
 } as const;
 
 /** Budget of control of one node (letter 1). */
-const BUDGET = {corePercent: 4.5, memoryMb: 256, bytesPerSecond: 3000} as const;
+const CONTROL_BUDGET = {
+  corePercent: 4.5,
+  memoryMb: 256,
+  bytesPerSecond: 3000,
+} as const;
 
 /** Settings of gates and agents at that size. */
-const SETTINGS = {
+const DESIGN_SETTINGS = {
   /** `routing.subsetSize`: targets of each pool that a gate links to. */
   subsetSize: 4,
   /** `heartbeatMs` of the agents. */
@@ -32,25 +36,25 @@
 const MEASURED_HEARTBEAT_MS = 1000;
 
 /** Characters of prompt text of a mean request: 29,000 tokens of 4. */
-const PROMPT_KB_PER_REQUEST = 116;
+const MEAN_PROMPT_KB = 116;
 
 const SECONDS_PER_DAY = 86_400;
 
 /** Share of requests that carry a key, and how long a ledger keeps one, in s. */
-const KEYED_SHARE = 0.1;
-const RETAIN_S = 900;
+const KEYED_REQUEST_SHARE = 0.1;
+const KEY_RETENTION_S = 900;
 
-interface Row {
+interface FigureRow {
   readonly role: 'gate' | 'agent' | 'configuration';
   readonly figure: string;
-  readonly working: string;
+  readonly derivation: string;
   readonly value: number;
   readonly unit: string;
   readonly budget?: number;
 }
 
 /** Slopes by name, with the measured line's value at x. */
-class Slopes {
+class SlopeTable {
   constructor(private readonly measurement: Measurement) {}
 
   /** The slope alone: what one more costs. */
@@ -59,7 +63,7 @@
   }
 
   /** The line's value at `x`. */
-  readAt(name: string, x: number): number {
+  estimateAt(name: string, x: number): number {
     const {slope, intercept} = this.find(name);
     return intercept + slope * x;
   }
@@ -90,109 +94,118 @@
  * @example
  * listFigures(measurement).filter(row => row.budget !== undefined);
  */
-export function listFigures(measurement: Measurement): readonly Row[] {
-  const slopes = new Slopes(measurement);
+export function listFigures(measurement: Measurement): readonly FigureRow[] {
+  const slopes = new SlopeTable(measurement);
   return [
-    ...listRoleFigures(slopes, describeGate(slopes)),
-    ...listRoleFigures(slopes, describeAgent(slopes)),
+    ...listRoleFigures(slopes, buildGateLoad(slopes)),
+    ...listRoleFigures(slopes, buildAgentLoad(slopes)),
     ...listConfigFigures(slopes),
   ];
 }
 
 /** Idle cost at the heartbeat of that size, from the one measured at 1 s. */
-function toLongHeartbeat(perSecond: number): number {
-  return (perSecond * MEASURED_HEARTBEAT_MS) / SETTINGS.heartbeatMs;
+function toDesignHeartbeat(perSecond: number): number {
+  return (perSecond * MEASURED_HEARTBEAT_MS) / DESIGN_SETTINGS.heartbeatMs;
 }
 
 /** Cost a second of something that each change of the configuration costs. */
 function toPerSecond(perChange: number): number {
-  return (perChange * SIZE.changesPerDay) / SECONDS_PER_DAY;
+  return (perChange * DESIGN_SIZE.changesPerDay) / SECONDS_PER_DAY;
 }
 
-function describeGate(slopes: Slopes): RoleLoad {
-  const recordCpuMs = slopes.readAt(
+function buildGateLoad(slopes: SlopeTable): RoleLoad {
+  const recordCpuMs = slopes.estimateAt(
     'gate.record_cpu_ms_by_accounts',
-    SIZE.accounts,
+    DESIGN_SIZE.accounts,
   );
   return {
     role: 'gate',
-    links: SIZE.models * SETTINGS.subsetSize,
-    requestsPerSecond: SIZE.requestsPerSecond / SIZE.gates,
-    piecesPerSecond: SIZE.tokensPerSecond / SIZE.gates,
+    links: DESIGN_SIZE.models * DESIGN_SETTINGS.subsetSize,
+    requestsPerSecond: DESIGN_SIZE.requestsPerSecond / DESIGN_SIZE.gates,
+    piecesPerSecond: DESIGN_SIZE.tokensPerSecond / DESIGN_SIZE.gates,
     stateMb:
-      slopes.readAt('gate.rss_mb_by_accounts', SIZE.accounts) +
-      slopes.readSlope('gate.rss_mb_by_targets') * SIZE.targets,
-    state: `record of ${SIZE.accounts} accounts and ${SIZE.targets} targets`,
+      slopes.estimateAt('gate.rss_mb_by_accounts', DESIGN_SIZE.accounts) +
+      slopes.readSlope('gate.rss_mb_by_targets') * DESIGN_SIZE.targets,
+    state: `record of ${DESIGN_SIZE.accounts} accounts and ${DESIGN_SIZE.targets} targets`,
     // Milliseconds a second are tenths of a percent.
     recordCorePercent: toPerSecond(recordCpuMs) / 10,
     recordBytesPerSecond: toPerSecond(
-      slopes.readAt('config.gate_delta_bytes_by_accounts', SIZE.accounts),
+      slopes.estimateAt(
+        'config.gate_delta_bytes_by_accounts',
+        DESIGN_SIZE.accounts,
+      ),
     ),
   };
 }
 
-function describeAgent(slopes: Slopes): RoleLoad {
-  const requestsPerSecond = SIZE.requestsPerSecond / SIZE.targets;
-  const targetsPerModel = SIZE.targets / SIZE.models;
-  const keys = requestsPerSecond * KEYED_SHARE * RETAIN_S;
+function buildAgentLoad(slopes: SlopeTable): RoleLoad {
+  const requestsPerSecond = DESIGN_SIZE.requestsPerSecond / DESIGN_SIZE.targets;
+  const targetsPerModel = DESIGN_SIZE.targets / DESIGN_SIZE.models;
+  const keys = requestsPerSecond * KEYED_REQUEST_SHARE * KEY_RETENTION_S;
   return {
     role: 'agent',
-    links: (SIZE.gates * SETTINGS.subsetSize) / targetsPerModel,
+    links: (DESIGN_SIZE.gates * DESIGN_SETTINGS.subsetSize) / targetsPerModel,
     requestsPerSecond,
-    piecesPerSecond: SIZE.tokensPerSecond / SIZE.targets,
+    piecesPerSecond: DESIGN_SIZE.tokensPerSecond / DESIGN_SIZE.targets,
     stateMb:
-      slopes.readAt('agent.rss_mb_by_links', 0) +
+      slopes.estimateAt('agent.rss_mb_by_links', 0) +
       slopes.readSlope('agent.rss_mb_by_ledger_keys') * keys,
     state: `${keys.toFixed(0)} keys in the ledger`,
     recordCorePercent: 0,
     recordBytesPerSecond: toPerSecond(
-      slopes.readAt('config.agent_delta_bytes_by_accounts', SIZE.accounts),
+      slopes.estimateAt(
+        'config.agent_delta_bytes_by_accounts',
+        DESIGN_SIZE.accounts,
+      ),
     ),
   };
 }
 
-function listRoleFigures(slopes: Slopes, load: RoleLoad): readonly Row[] {
+function listRoleFigures(
+  slopes: SlopeTable,
+  load: RoleLoad,
+): readonly FigureRow[] {
   const {role, links, requestsPerSecond, piecesPerSecond} = load;
-  const promptKb = requestsPerSecond * PROMPT_KB_PER_REQUEST;
+  const promptKb = requestsPerSecond * MEAN_PROMPT_KB;
   const readSlope = (name: string) => slopes.readSlope(`${role}.${name}`);
-  const idleBytes = toLongHeartbeat(
+  const idleBytes = toDesignHeartbeat(
     readSlope('control_bytes_s_by_links') * links,
   );
   const callBytes = readSlope('control_bytes_s_by_calls_s') * requestsPerSecond;
   const idleCore =
-    slopes.readAt(`${role}.idle_core_percent_by_links`, 0) +
-    toLongHeartbeat(readSlope('idle_core_percent_by_links') * links);
+    slopes.estimateAt(`${role}.idle_core_percent_by_links`, 0) +
+    toDesignHeartbeat(readSlope('idle_core_percent_by_links') * links);
   const traffic = `${requestsPerSecond.toFixed(2)} requests/s`;
-  const heartbeat = `${links.toFixed(0)} links at a ${SETTINGS.heartbeatMs / 1000} s heartbeat`;
+  const heartbeat = `${links.toFixed(0)} links at a ${DESIGN_SETTINGS.heartbeatMs / 1000} s heartbeat`;
   return [
     {
       role,
       figure: 'memory',
-      working: `${load.state}, ${links.toFixed(0)} links`,
+      derivation: `${load.state}, ${links.toFixed(0)} links`,
       value: load.stateMb + readSlope('rss_mb_by_links') * links,
       unit: 'MB',
-      budget: BUDGET.memoryMb,
+      budget: CONTROL_BUDGET.memoryMb,
     },
     {
       role,
       figure: 'processor time, control',
-      working: `${heartbeat} + ${SIZE.changesPerDay} changes a day`,
+      derivation: `${heartbeat} + ${DESIGN_SIZE.changesPerDay} changes a day`,
       value: idleCore + load.recordCorePercent,
       unit: '% of a core',
-      budget: BUDGET.corePercent,
+      budget: CONTROL_BUDGET.corePercent,
     },
     {
       role,
       figure: 'control bytes',
-      working: `${heartbeat} (${idleBytes.toFixed(0)}) + ${traffic} (${callBytes.toFixed(0)}) + changes (${load.recordBytesPerSecond.toFixed(0)})`,
+      derivation: `${heartbeat} (${idleBytes.toFixed(0)}) + ${traffic} (${callBytes.toFixed(0)}) + changes (${load.recordBytesPerSecond.toFixed(0)})`,
       value: idleBytes + callBytes + load.recordBytesPerSecond,
       unit: 'bytes/s',
-      budget: BUDGET.bytesPerSecond,
+      budget: CONTROL_BUDGET.bytesPerSecond,
     },
     {
       role,
       figure: 'processor time, traffic',
-      working: `${traffic}, ${piecesPerSecond.toFixed(0)} pieces/s, ${promptKb.toFixed(0)} KB/s of prompts`,
+      derivation: `${traffic}, ${piecesPerSecond.toFixed(0)} pieces/s, ${promptKb.toFixed(0)} KB/s of prompts`,
       value:
         readSlope('core_percent_by_calls_s') * requestsPerSecond +
         readSlope('core_percent_by_pieces_s') * piecesPerSecond +
@@ -203,49 +216,52 @@
 }
 
 /** Time in which a change must be in force everywhere (letter 1), in ms. */
-const IN_FORCE_MS = 8000;
+const PROPAGATION_LIMIT_MS = 8000;
 
 /** Reads a second that the service answers, across all readers (brief). */
-const SERVICE_READS_PER_SECOND = 2000;
+const CONFIG_READS_PER_SECOND = 2000;
 
-function listConfigFigures(slopes: Slopes): readonly Row[] {
-  const readers = SIZE.gates + SIZE.targets;
-  const perChange = (SIZE.changesPerDay * readers) / SECONDS_PER_DAY;
-  const idle = slopes.readAt('config.reads_s_by_readers', readers);
+function listConfigFigures(slopes: SlopeTable): readonly FigureRow[] {
+  const readers = DESIGN_SIZE.gates + DESIGN_SIZE.targets;
+  const perChange = (DESIGN_SIZE.changesPerDay * readers) / SECONDS_PER_DAY;
+  const idle = slopes.estimateAt('config.reads_s_by_readers', readers);
   return [
     {
       role: 'configuration',
       figure: 'change in force at every reader',
-      working: `${readers} readers, slowest of ten changes`,
-      value: slopes.readAt('config.in_force_ms_by_readers', readers),
+      derivation: `${readers} readers, slowest of ten changes`,
+      value: slopes.estimateAt('config.in_force_ms_by_readers', readers),
       unit: 'ms',
-      budget: IN_FORCE_MS,
+      budget: PROPAGATION_LIMIT_MS,
     },
     {
       role: 'configuration',
       figure: 'reads of the service',
-      working: `${readers} watches of 25 s (${idle.toFixed(0)}) + ${SIZE.changesPerDay} changes a day (${perChange.toFixed(1)})`,
+      derivation: `${readers} watches of 25 s (${idle.toFixed(0)}) + ${DESIGN_SIZE.changesPerDay} changes a day (${perChange.toFixed(1)})`,
       value: idle + perChange,
       unit: 'reads/s',
-      budget: SERVICE_READS_PER_SECOND,
+      budget: CONFIG_READS_PER_SECOND,
     },
     {
       role: 'configuration',
       figure: 'whole record',
-      working: `${SIZE.accounts} accounts, ${SIZE.targets} targets`,
-      value: slopes.readAt('config.record_bytes_by_accounts', SIZE.accounts),
+      derivation: `${DESIGN_SIZE.accounts} accounts, ${DESIGN_SIZE.targets} targets`,
+      value: slopes.estimateAt(
+        'config.record_bytes_by_accounts',
+        DESIGN_SIZE.accounts,
+      ),
       unit: 'bytes',
       budget: 1_048_576,
     },
   ];
 }
 
-function formatRow(row: Row): string {
+function formatRow(row: FigureRow): string {
   const budget = row.budget === undefined ? '–' : String(row.budget);
   const verdict =
     row.budget === undefined ? '–' : row.value <= row.budget ? 'yes' : '**no**';
   const value = row.value.toPrecision(4);
-  return `| ${[row.role, row.figure, row.working, `${value} ${row.unit}`, budget, verdict].join(' | ')} |`;
+  return `| ${[row.role, row.figure, row.derivation, `${value} ${row.unit}`, budget, verdict].join(' | ')} |`;
 }
 
 /**
--- a/packages/nutmeggauge/src/measure/config-measures.ts
+++ b/packages/nutmeggauge/src/measure/config-measures.ts
@@ -6,24 +6,28 @@
 import {request} from 'undici';
 import {createConfigWatcher, createCounters, waitMs} from '@nutmeggauge/core';
 import {fitSlope} from './fit.js';
-import {buildFarTargets, buildRecord, startPlatform} from './fixtures.js';
-import {measureUntil} from './probe.js';
+import {
+  buildUnreachableTargets,
+  buildRecord,
+  startLocalStandIns,
+} from './fixtures.js';
+import {measureUntil} from './measured-process.js';
 import type {Slope} from './fit.js';
 
-const CHANGES = 10;
+const CHANGE_COUNT = 10;
 const WATCH_MS = 25_000;
 const IDLE_MS = 10_000;
 
 /** Milliseconds from a change's publication until every reader holds it. */
-async function measureInForce(): Promise<Slope[]> {
-  const inForce: Array<[number, number]> = [];
+async function measurePropagation(): Promise<Slope[]> {
+  const propagationMs: Array<[number, number]> = [];
   const reads: Array<[number, number]> = [];
   for (const readers of [50, 350, 1000, 1850]) {
-    const platform = await startPlatform();
-    platform.config.publish(buildRecord(1, buildFarTargets(60)));
+    const standIns = await startLocalStandIns();
+    standIns.config.publish(buildRecord(1, buildUnreachableTargets(60)));
     const watchers = Array.from({length: readers}, () =>
       createConfigWatcher({
-        url: platform.configUrl,
+        url: standIns.configUrl,
         counters: createCounters(),
         waitMs: WATCH_MS,
         sections: ['pools'],
@@ -33,29 +37,29 @@
     const waitForAll = (version: number) =>
       measureUntil(() => watchers.every(w => w.version >= version));
     await waitForAll(1);
-    const took: number[] = [];
-    for (let i = 0; i < CHANGES; i++) {
-      const targets = buildFarTargets(60 + i);
-      took.push(
-        await waitForAll(platform.config.publish(buildRecord(1, targets))),
+    const durationsMs: number[] = [];
+    for (let i = 0; i < CHANGE_COUNT; i++) {
+      const targets = buildUnreachableTargets(60 + i);
+      durationsMs.push(
+        await waitForAll(standIns.config.publish(buildRecord(1, targets))),
       );
       await waitMs(200);
     }
-    inForce.push([readers, Math.max(...took)]);
-    const before = platform.config.calls();
+    propagationMs.push([readers, Math.max(...durationsMs)]);
+    const before = standIns.config.calls();
     await waitMs(IDLE_MS);
-    const idle = (platform.config.calls() - before) / (IDLE_MS / 1000);
+    const idle = (standIns.config.calls() - before) / (IDLE_MS / 1000);
     // Within the pause some watches may not come round; the bound is exact.
     reads.push([readers, Math.max(idle, readers / (WATCH_MS / 1000))]);
     for (const watcher of watchers) watcher.stop();
-    await platform.close();
+    await standIns.close();
   }
   return [
     fitSlope(
       'config.in_force_ms_by_readers',
       'readers',
       'ms, slowest of ten changes',
-      inForce,
+      propagationMs,
     ),
     fitSlope(
       'config.reads_s_by_readers',
@@ -66,52 +70,58 @@
   ];
 }
 
-async function readBytes(url: string, query: string): Promise<number> {
+async function fetchRecordSize(url: string, query: string): Promise<number> {
   const response = await request(`${url}/v1/records/current?${query}`);
   return (await response.body.text()).length;
 }
 
 /** Bytes of a whole record, and of the change of one account. */
-async function measureBytes(): Promise<Slope[]> {
-  const whole: Array<[number, number]> = [];
-  const delta: Array<[number, number]> = [];
-  const pools: Array<[number, number]> = [];
+async function measureRecordSizes(): Promise<Slope[]> {
+  const fullBytes: Array<[number, number]> = [];
+  const deltaBytes: Array<[number, number]> = [];
+  const poolsDeltaBytes: Array<[number, number]> = [];
   for (const accounts of [100, 1000, 3700, 7400]) {
-    const platform = await startPlatform();
-    const targets = buildFarTargets(1500);
-    platform.config.publish(buildRecord(accounts, targets));
-    platform.config.publish(buildRecord(accounts + 1, targets));
-    whole.push([accounts, await readBytes(platform.configUrl, 'after=0')]);
-    delta.push([accounts, await readBytes(platform.configUrl, 'after=1')]);
-    pools.push([
+    const standIns = await startLocalStandIns();
+    const targets = buildUnreachableTargets(1500);
+    standIns.config.publish(buildRecord(accounts, targets));
+    standIns.config.publish(buildRecord(accounts + 1, targets));
+    fullBytes.push([
       accounts,
-      await readBytes(platform.configUrl, 'after=1&sections=pools'),
+      await fetchRecordSize(standIns.configUrl, 'after=0'),
     ]);
-    await platform.close();
+    deltaBytes.push([
+      accounts,
+      await fetchRecordSize(standIns.configUrl, 'after=1'),
+    ]);
+    poolsDeltaBytes.push([
+      accounts,
+      await fetchRecordSize(standIns.configUrl, 'after=1&sections=pools'),
+    ]);
+    await standIns.close();
   }
   return [
     fitSlope(
       'config.record_bytes_by_accounts',
       'client accounts (1,500 targets)',
       'bytes',
-      whole,
+      fullBytes,
     ),
     fitSlope(
       'config.gate_delta_bytes_by_accounts',
       'client accounts',
       'bytes a change',
-      delta,
+      deltaBytes,
     ),
     fitSlope(
       'config.agent_delta_bytes_by_accounts',
       'client accounts',
       'bytes a change',
-      pools,
+      poolsDeltaBytes,
     ),
   ];
 }
 
 /** Measures every figure of the configuration watch. */
 export async function measureConfig(): Promise<readonly Slope[]> {
-  return [...(await measureInForce()), ...(await measureBytes())];
+  return [...(await measurePropagation()), ...(await measureRecordSizes())];
 }
--- a/packages/nutmeggauge/src/measure/fixtures.ts
+++ b/packages/nutmeggauge/src/measure/fixtures.ts
@@ -66,7 +66,7 @@
  * @example
  * buildFarTargets(1500).length;
  */
-export function buildFarTargets(count: number): RecordTarget[] {
+export function buildUnreachableTargets(count: number): RecordTarget[] {
   return Array.from({length: count}, (_, i) => ({
     id: `far-${i}`,
     agent: `${HOST}:1`,
@@ -75,7 +75,7 @@
 }
 
 /** A configuration service and a plain service in this process. */
-export interface Platform {
+export interface LocalStandIns {
   readonly config: ConfigServiceStandIn;
   readonly configUrl: string;
   readonly plain: PlainServiceStandIn;
@@ -93,7 +93,7 @@
 };
 
 /** Starts the platform's stand-ins in this process. */
-export async function startPlatform(): Promise<Platform> {
+export async function startLocalStandIns(): Promise<LocalStandIns> {
   const config = await startConfigServiceStandIn(HOST, 0);
   const plain = await startPlainServiceStandIn(HOST, 0, 1);
   const engine = await startEngineStandIn(FAST_ENGINE, HOST, 0);
--- a/packages/nutmeggauge/src/measure/gate-measures.ts
+++ b/packages/nutmeggauge/src/measure/gate-measures.ts
@@ -9,27 +9,27 @@
 import {
   HOST,
   MEASURE_KEY,
-  buildFarTargets,
+  buildUnreachableTargets,
   buildRecord,
   startAgents,
-  startPlatform,
+  startLocalStandIns,
   sumControlBytes,
 } from './fixtures.js';
-import {measureUntil, startProbe} from './probe.js';
+import {measureUntil, startMeasuredProcess} from './measured-process.js';
 import {
-  REST_MS,
+  SETTLE_MS,
   STREAM_TOKENS,
   fitCalls,
   fitLinks,
   fitSparseCalls,
   fitStreams,
-  measureStretch,
+  measureInterval,
   sendAtRate,
 } from './role-slopes.js';
 import type {Slope} from './fit.js';
-import type {Stretch} from './role-slopes.js';
-import type {Platform} from './fixtures.js';
-import type {Probe} from './probe.js';
+import type {IntervalUsage} from './role-slopes.js';
+import type {LocalStandIns} from './fixtures.js';
+import type {MeasuredProcess} from './measured-process.js';
 
 const ACCOUNT_COUNTS = [100, 1000, 3700, 7400];
 const TARGET_COUNTS = [1, 500, 1500, 3000];
@@ -42,16 +42,16 @@
 /** Starts a gate process on `platform`, with its administration API. */
 export async function startGate(
   runDir: string,
-  platform: Platform,
+  standIns: LocalStandIns,
   routing: Readonly<Record<string, unknown>> = {},
-): Promise<Probe> {
+): Promise<MeasuredProcess> {
   const [port, adminPort] = await findFreePorts(2);
-  return startProbe('gate', runDir, {
+  return startMeasuredProcess('gate', runDir, {
     id: 'gate-m',
     zone: 'az-1',
     listen: {host: HOST, port},
     admin: {listen: {host: HOST, port: adminPort}},
-    configService: {url: platform.configUrl},
+    configService: {url: standIns.configUrl},
     routing,
   });
 }
@@ -62,15 +62,15 @@
   count: number,
   kind: 'plain' | 'engine' = 'plain',
 ) {
-  const platform = await startPlatform();
-  const url = kind === 'plain' ? platform.plainUrl : platform.engineUrl;
-  const near = await startAgents(count, url, kind);
+  const standIns = await startLocalStandIns();
+  const url = kind === 'plain' ? standIns.plainUrl : standIns.engineUrl;
+  const localAgents = await startAgents(count, url, kind);
   const record =
     kind === 'plain'
-      ? buildRecord(10, near.targets)
-      : buildRecord(10, [], near.targets);
-  platform.config.publish(record);
-  const gate = await startGate(runDir, platform);
+      ? buildRecord(10, localAgents.targets)
+      : buildRecord(10, [], localAgents.targets);
+  standIns.config.publish(record);
+  const gate = await startGate(runDir, standIns);
   await measureUntil(async () => {
     const targets = await gate.listTargets();
     return targets.length === count && targets.every(t => t.usable);
@@ -79,9 +79,9 @@
     gate,
     readBytes: async () => sumControlBytes(await gate.readCounters()),
     close: async () => {
-      near.close();
+      localAgents.close();
       await gate.stop();
-      await platform.close();
+      await standIns.close();
     },
   };
 }
@@ -91,18 +91,18 @@
   const rss: Array<[number, number]> = [];
   const cpu: Array<[number, number]> = [];
   for (const accounts of ACCOUNT_COUNTS) {
-    const platform = await startPlatform();
-    const gate = await startGate(runDir, platform);
-    await waitMs(REST_MS);
+    const standIns = await startLocalStandIns();
+    const gate = await startGate(runDir, standIns);
+    await waitMs(SETTLE_MS);
     const before = await gate.readUsage();
-    const version = platform.config.publish(buildRecord(accounts, []));
+    const version = standIns.config.publish(buildRecord(accounts, []));
     await measureUntil(async () => (await gate.readVersion()) === version);
-    await waitMs(REST_MS);
+    await waitMs(SETTLE_MS);
     const after = await gate.readUsage();
     rss.push([accounts, after.rssMb]);
     cpu.push([accounts, after.cpuMs - before.cpuMs]);
     await gate.stop();
-    await platform.close();
+    await standIns.close();
   }
   return [
     fitSlope('gate.rss_mb_by_accounts', 'client accounts', 'MB', rss),
@@ -114,13 +114,13 @@
 async function measureTargets(runDir: string): Promise<Slope[]> {
   const rss: Array<[number, number]> = [];
   for (const targets of TARGET_COUNTS) {
-    const platform = await startPlatform();
-    platform.config.publish(buildRecord(10, buildFarTargets(targets)));
-    const gate = await startGate(runDir, platform, {subsetSize: 1});
-    await waitMs(REST_MS * 2);
+    const standIns = await startLocalStandIns();
+    standIns.config.publish(buildRecord(10, buildUnreachableTargets(targets)));
+    const gate = await startGate(runDir, standIns, {subsetSize: 1});
+    await waitMs(SETTLE_MS * 2);
     rss.push([targets, (await gate.readUsage()).rssMb]);
     await gate.stop();
-    await platform.close();
+    await standIns.close();
   }
   return [fitSlope('gate.rss_mb_by_targets', 'targets', 'MB', rss)];
 }
@@ -128,10 +128,10 @@
 function measureLinks(runDir: string): Promise<Slope[]> {
   return fitLinks('gate', LINK_COUNTS, async links => {
     const {gate, readBytes, close} = await startLinkedGate(runDir, links);
-    const stretch = await measureStretch(gate, readBytes);
+    const usage = await measureInterval(gate, readBytes);
     const {rssMb} = await gate.readUsage();
     await close();
-    return {...stretch, rssMb};
+    return {...usage, rssMb};
   });
 }
 
@@ -148,12 +148,12 @@
 async function measureCalls(
   runDir: string,
   links: number,
-  fit: (measureAt: (rate: number) => Promise<Stretch>) => Promise<Slope>,
+  fit: (measureAt: (rate: number) => Promise<IntervalUsage>) => Promise<Slope>,
 ): Promise<Slope> {
   const {gate, readBytes, close} = await startLinkedGate(runDir, links);
   const path = '/v1/services/orders/read-stock';
   const slope = await fit(rate =>
-    measureStretch(gate, readBytes, () =>
+    measureInterval(gate, readBytes, () =>
       sendAtRate(rate, () => post(gate.port, path, '{}')),
     ),
   );
@@ -170,7 +170,7 @@
       max_tokens: STREAM_TOKENS,
       stream: true,
     });
-    return measureStretch(gate, readBytes, () =>
+    return measureInterval(gate, readBytes, () =>
       sendAtRate(rate, () => post(gate.port, '/v1/completions', body)),
     );
   });
--- a/packages/nutmeggauge/src/measure/leaving-measures.ts
+++ b/packages/nutmeggauge/src/measure/leaving-measures.ts
@@ -3,12 +3,12 @@
  * killed.
  */
 import {findFreePorts} from '../cluster/ports.js';
-import {HOST, buildRecord, startPlatform} from './fixtures.js';
+import {HOST, buildRecord, startLocalStandIns} from './fixtures.js';
 import {startGate} from './gate-measures.js';
-import {measureUntil, startProbe} from './probe.js';
+import {measureUntil, startMeasuredProcess} from './measured-process.js';
 
 /** Times until a gate stops routing to a target, in ms. */
-export interface LeavingBounds {
+export interface RemovalLatencies {
   /** After its agent began to drain. */
   readonly drainMs: number;
   /** After its agent was paused (SIGSTOP). */
@@ -18,16 +18,18 @@
 }
 
 /** Measures how soon a gate stops routing to a target that goes. */
-export async function measureLeaving(runDir: string): Promise<LeavingBounds> {
-  const platform = await startPlatform();
+export async function measureRemovalLatencies(
+  runDir: string,
+): Promise<RemovalLatencies> {
+  const standIns = await startLocalStandIns();
   const ports = await findFreePorts(3);
   const agents = await Promise.all(
     ports.map((port, i) =>
-      startProbe('agent', runDir, {
+      startMeasuredProcess('agent', runDir, {
         id: `t-${i}`,
         zone: 'az-1',
         listen: {host: HOST, port},
-        target: {kind: 'plain', url: platform.plainUrl},
+        target: {kind: 'plain', url: standIns.plainUrl},
         ledger: {bootstrap: true},
       }),
     ),
@@ -37,8 +39,8 @@
     agent: `${HOST}:${port}`,
     zone: 'az-1',
   }));
-  platform.config.publish(buildRecord(1, targets));
-  const gate = await startGate(runDir, platform);
+  standIns.config.publish(buildRecord(1, targets));
+  const gate = await startGate(runDir, standIns);
   const listUsable = async () =>
     (await gate.listTargets()).filter(t => t.usable).map(t => t.id);
   await measureUntil(async () => (await listUsable()).length === ports.length);
@@ -48,12 +50,14 @@
       async () => !(await listUsable()).includes(`t-${index}`),
     );
   };
-  const bounds = {
+  const latencies = {
     drainMs: await measure(0, 'SIGTERM'),
     freezeMs: await measure(1, 'SIGSTOP'),
     killMs: await measure(2, 'SIGKILL'),
   };
-  await Promise.all([...agents, gate].map(probe => probe.stop()));
-  await platform.close();
-  return bounds;
+  await Promise.all(
+    [...agents, gate].map(measuredProcess => measuredProcess.stop()),
+  );
+  await standIns.close();
+  return latencies;
 }
--- a/packages/nutmeggauge/src/measure/measure.ts
+++ b/packages/nutmeggauge/src/measure/measure.ts
@@ -9,15 +9,15 @@
 import {measureAgent} from './agent-measures.js';
 import {measureConfig} from './config-measures.js';
 import {measureGate} from './gate-measures.js';
-import {measureLeaving} from './leaving-measures.js';
+import {measureRemovalLatencies} from './leaving-measures.js';
 import type {Slope} from './fit.js';
-import type {LeavingBounds} from './leaving-measures.js';
+import type {RemovalLatencies} from './leaving-measures.js';
 
 /** Everything that one run measured. */
 export interface Measurement {
   readonly measuredAt: string;
   readonly slopes: readonly Slope[];
-  readonly leaving: LeavingBounds;
+  readonly leaving: RemovalLatencies;
 }
 
 /** Options of a measurement. */
@@ -60,7 +60,7 @@
     slopes.push(...measured);
   }
   print('measuring: leaving targets');
-  const leaving = await measureLeaving(options.runDir);
+  const leaving = await measureRemovalLatencies(options.runDir);
   print(`  ${JSON.stringify(leaving)}`);
   const measurement = {measuredAt: new Date().toISOString(), slopes, leaving};
   writeFileSync(
--- a/packages/nutmeggauge/src/measure/probe.ts
+++ b/packages/nutmeggauge/src/measure/measured-process.ts
@@ -33,7 +33,7 @@
  * const probe = await startProbe('gate', 'runs/measure', settings);
  * const share = await probe.measureCoreShare(5000);
  */
-export class Probe {
+export class MeasuredProcess {
   constructor(
     private readonly child: ChildHandle,
     readonly port: number,
@@ -77,9 +77,9 @@
     return body.record.version;
   }
 
-  private async readAdmin<T>(page: string): Promise<T> {
+  private async readAdmin<T>(resource: string): Promise<T> {
     const response = await request(
-      `http://127.0.0.1:${this.adminPort}/v1/${page}`,
+      `http://127.0.0.1:${this.adminPort}/v1/${resource}`,
     );
     return (await response.body.json()) as T;
   }
@@ -94,7 +94,7 @@
   }
 }
 
-let nextProbe = 1;
+let nextProcessNumber = 1;
 
 /**
  * Starts a gate or an agent with `settings`, whose `listen.port` is its port.
@@ -102,16 +102,16 @@
  * @example
  * await startProbe('agent', 'runs/measure', {id: 'a', listen: {port: 7101}, ...});
  */
-export async function startProbe(
+export async function startMeasuredProcess(
   role: keyof typeof BINARIES,
   runDir: string,
   settings: Readonly<Record<string, unknown>> & {
     readonly listen: ListenAddress;
     readonly admin?: {readonly listen: ListenAddress};
   },
-): Promise<Probe> {
+): Promise<MeasuredProcess> {
   mkdirSync(runDir, {recursive: true});
-  const name = `${role}-${nextProbe++}`;
+  const name = `${role}-${nextProcessNumber++}`;
   const file = join(runDir, `${name}.yaml`);
   writeFileSync(file, stringifyYaml(settings));
   const child = await startChild(
@@ -120,7 +120,7 @@
     ['--config', file],
     join(runDir, `${name}.log`),
   );
-  return new Probe(
+  return new MeasuredProcess(
     child,
     settings.listen.port,
     settings.admin?.listen.port ?? 0,
@@ -135,13 +135,13 @@
  */
 export async function measureUntil(
   check: () => boolean | Promise<boolean>,
-  everyMs = 5,
-  giveUpMs = 60_000,
+  pollIntervalMs = 5,
+  timeoutMs = 60_000,
 ): Promise<number> {
   const startedAt = performance.now();
   while (!(await check())) {
-    if (performance.now() - startedAt > giveUpMs) return NaN;
-    await waitMs(everyMs);
+    if (performance.now() - startedAt > timeoutMs) return NaN;
+    await waitMs(pollIntervalMs);
   }
   return performance.now() - startedAt;
 }
--- a/packages/nutmeggauge/src/measure/role-slopes.ts
+++ b/packages/nutmeggauge/src/measure/role-slopes.ts
@@ -6,13 +6,13 @@
 import {waitMs} from '@nutmeggauge/core';
 import {fitSlope} from './fit.js';
 import type {Slope} from './fit.js';
-import type {Probe} from './probe.js';
+import type {MeasuredProcess} from './measured-process.js';
 
 /** Role whose process is measured. */
 export type MeasuredRole = 'gate' | 'agent';
 
 /** Time that a process rests before it is measured, in ms. */
-export const REST_MS = 2000;
+export const SETTLE_MS = 2000;
 
 /** Time that a process is measured for, idle or under load, in ms. */
 export const MEASURE_MS = 6000;
@@ -23,7 +23,7 @@
 type Points = Array<[number, number]>;
 
 /** Processor time and control bytes over one measured stretch. */
-export interface Stretch {
+export interface IntervalUsage {
   /** Mean share of a core, in %. */
   readonly corePercent: number;
   readonly bytesPerSecond: number;
@@ -36,15 +36,15 @@
  * @example
  * await measureStretch(gate, readBytes, sendCalls);
  */
-export async function measureStretch(
-  probe: Probe,
+export async function measureInterval(
+  measuredProcess: MeasuredProcess,
   readBytes: () => number | Promise<number>,
   load: () => Promise<unknown> = async () => {},
-): Promise<Stretch> {
-  await waitMs(REST_MS);
+): Promise<IntervalUsage> {
+  await waitMs(SETTLE_MS);
   const before = await readBytes();
   const [corePercent] = await Promise.all([
-    probe.measureCoreShare(MEASURE_MS),
+    measuredProcess.measureCoreShare(MEASURE_MS),
     load(),
   ]);
   const bytes = (await readBytes()) - before;
@@ -74,16 +74,18 @@
 export async function fitLinks(
   role: MeasuredRole,
   counts: readonly number[],
-  measureAt: (links: number) => Promise<Stretch & {readonly rssMb: number}>,
+  measureAt: (
+    links: number,
+  ) => Promise<IntervalUsage & {readonly rssMb: number}>,
 ): Promise<Slope[]> {
   const rss: Points = [];
   const cpu: Points = [];
   const bytes: Points = [];
   for (const links of counts) {
-    const stretch = await measureAt(links);
-    rss.push([links, stretch.rssMb]);
-    cpu.push([links, stretch.corePercent]);
-    bytes.push([links, stretch.bytesPerSecond]);
+    const usage = await measureAt(links);
+    rss.push([links, usage.rssMb]);
+    cpu.push([links, usage.corePercent]);
+    bytes.push([links, usage.bytesPerSecond]);
   }
   return [
     fitSlope(`${role}.rss_mb_by_links`, 'links', 'MB', rss),
@@ -101,7 +103,7 @@
 export async function fitCalls(
   role: MeasuredRole,
   rates: readonly number[],
-  measureAt: (ratePerSecond: number) => Promise<Stretch>,
+  measureAt: (ratePerSecond: number) => Promise<IntervalUsage>,
 ): Promise<Slope> {
   const cpu: Points = [];
   for (const rate of rates)
@@ -119,7 +121,7 @@
   role: MeasuredRole,
   links: number,
   rates: readonly number[],
-  measureAt: (ratePerSecond: number) => Promise<Stretch>,
+  measureAt: (ratePerSecond: number) => Promise<IntervalUsage>,
 ): Promise<Slope> {
   const bytes: Points = [];
   for (const rate of rates)
@@ -142,7 +144,7 @@
 /** Processor time by streamed pieces a second, and by prompt text a second. */
 export async function fitStreams(
   role: MeasuredRole,
-  measureAt: (ratePerSecond: number, prompt: string) => Promise<Stretch>,
+  measureAt: (ratePerSecond: number, prompt: string) => Promise<IntervalUsage>,
 ): Promise<Slope[]> {
   const byPieces: Points = [];
   for (const rate of STREAM_RATES) {
