--- a/packages/nutmeggauge/src/bench/run-experiment.ts
+++ b/packages/nutmeggauge/src/bench/run-experiment.ts
@@ -58,7 +58,7 @@
 const SHORTEST_BUCKET = LENGTH_BUCKETS[0].name;
 
 /** Pause between two loads on one cluster, so that the first one's end is over, in ms. */
-const SETTLE_MS = 500;
+const LOAD_GAP_MS = 500;
 
 /** Requests between two lines of progress. */
 const PROGRESS_INTERVAL = 500;
@@ -120,7 +120,7 @@
     const load = (phase: LoadPhase) =>
       runLoad(experiment, cluster, phase, {...options, runDir});
     const alone = await load('short-alone');
-    await waitMs(SETTLE_MS);
+    await waitMs(LOAD_GAP_MS);
     const sampler = new UsageSampler(cluster.listPids());
     await sampler.start();
     const [mixed] = await Promise.all([
--- a/packages/nutmeggauge/src/load/workload.ts
+++ b/packages/nutmeggauge/src/load/workload.ts
@@ -130,7 +130,7 @@
   planned: Extract<PlannedRequest, {kind: 'generate'}>,
   sharedPrefixTokens: number,
 ): string {
-  const {promptTokens, index, hasSharedPrefix: hasSharedPrefix} = planned;
+  const {promptTokens, index, hasSharedPrefix} = planned;
   const length = promptTokens * CHARS_PER_TOKEN;
   const prefix = hasSharedPrefix
     ? 'sys '.repeat(Math.min(promptTokens, sharedPrefixTokens))
--- a/packages/nutmeggauge/src/measure/agent-measures.ts
+++ b/packages/nutmeggauge/src/measure/agent-measures.ts
@@ -101,10 +101,10 @@
 function measureLinks(runDir: string): Promise<Slope[]> {
   return fitLinks('agent', LINK_COUNTS, async links => {
     const {agent, readBytes, close} = await startLinkedAgent(runDir, links);
-    const usage = await measureInterval(agent, readBytes);
+    const interval = await measureInterval(agent, readBytes);
     const {rssMb} = await agent.readUsage();
     await close();
-    return {...usage, rssMb};
+    return {...interval, rssMb};
   });
 }
 
--- a/packages/nutmeggauge/src/measure/config-measures.ts
+++ b/packages/nutmeggauge/src/measure/config-measures.ts
@@ -79,7 +79,7 @@
 async function measureRecordSizes(): Promise<Slope[]> {
   const fullBytes: Array<[number, number]> = [];
   const deltaBytes: Array<[number, number]> = [];
-  const poolsDeltaBytes: Array<[number, number]> = [];
+  const pools: Array<[number, number]> = [];
   for (const accounts of [100, 1000, 3700, 7400]) {
     const standIns = await startLocalStandIns();
     const targets = buildUnreachableTargets(1500);
@@ -93,7 +93,7 @@
       accounts,
       await fetchRecordSize(standIns.configUrl, 'after=1'),
     ]);
-    poolsDeltaBytes.push([
+    pools.push([
       accounts,
       await fetchRecordSize(standIns.configUrl, 'after=1&sections=pools'),
     ]);
@@ -116,7 +116,7 @@
       'config.agent_delta_bytes_by_accounts',
       'client accounts',
       'bytes a change',
-      poolsDeltaBytes,
+      pools,
     ),
   ];
 }
--- a/packages/nutmeggauge/src/measure/gate-measures.ts
+++ b/packages/nutmeggauge/src/measure/gate-measures.ts
@@ -128,10 +128,10 @@
 function measureLinks(runDir: string): Promise<Slope[]> {
   return fitLinks('gate', LINK_COUNTS, async links => {
     const {gate, readBytes, close} = await startLinkedGate(runDir, links);
-    const usage = await measureInterval(gate, readBytes);
+    const interval = await measureInterval(gate, readBytes);
     const {rssMb} = await gate.readUsage();
     await close();
-    return {...usage, rssMb};
+    return {...interval, rssMb};
   });
 }
 
--- a/packages/nutmeggauge/src/measure/leaving-measures.ts
+++ b/packages/nutmeggauge/src/measure/leaving-measures.ts
@@ -50,7 +50,7 @@
       async () => !(await listUsable()).includes(`t-${index}`),
     );
   };
-  const latencies = {
+  const bounds = {
     drainMs: await measure(0, 'SIGTERM'),
     freezeMs: await measure(1, 'SIGSTOP'),
     killMs: await measure(2, 'SIGKILL'),
@@ -59,5 +59,5 @@
     [...agents, gate].map(measuredProcess => measuredProcess.stop()),
   );
   await standIns.close();
-  return latencies;
+  return bounds;
 }
--- a/packages/nutmeggauge/src/measure/measured-process.ts
+++ b/packages/nutmeggauge/src/measure/measured-process.ts
@@ -136,11 +136,11 @@
 export async function measureUntil(
   check: () => boolean | Promise<boolean>,
   pollIntervalMs = 5,
-  timeoutMs = 60_000,
+  limitMs = 60_000,
 ): Promise<number> {
   const startedAt = performance.now();
   while (!(await check())) {
-    if (performance.now() - startedAt > timeoutMs) return NaN;
+    if (performance.now() - startedAt > limitMs) return NaN;
     await waitMs(pollIntervalMs);
   }
   return performance.now() - startedAt;
--- a/packages/nutmeggauge/src/measure/role-slopes.ts
+++ b/packages/nutmeggauge/src/measure/role-slopes.ts
@@ -82,10 +82,10 @@
   const cpu: Points = [];
   const bytes: Points = [];
   for (const links of counts) {
-    const usage = await measureAt(links);
-    rss.push([links, usage.rssMb]);
-    cpu.push([links, usage.corePercent]);
-    bytes.push([links, usage.bytesPerSecond]);
+    const interval = await measureAt(links);
+    rss.push([links, interval.rssMb]);
+    cpu.push([links, interval.corePercent]);
+    bytes.push([links, interval.bytesPerSecond]);
   }
   return [
     fitSlope(`${role}.rss_mb_by_links`, 'links', 'MB', rss),
