--- a/packages/nutmeggauge/src/bench/bench.ts
+++ b/packages/nutmeggauge/src/bench/bench.ts
@@ -6,18 +6,18 @@
 import {runExperiment} from './run-experiment.js';
 import {isClean} from '../load/summary.js';
 
-/** Options of the bench. */
+/** Options of `nutmeggauge bench`. */
 export interface BenchOptions {
   readonly files: readonly string[];
-  /** Folder for logs and reports. */
+  /** Directory for logs and reports. */
   readonly runDir: string;
 }
 
 /**
- * Runs every experiment file; true when no run lost, doubled or falsely
- * denied a request.
+ * Runs every experiment file. Returns true if the mixed load of every variant
+ * passes `isClean`.
  *
- * @throws SettingsError when a file is bad; nothing has run then.
+ * @throws SettingsError if a file is invalid, before any experiment runs.
  * @example
  * await runBench({files: ['experiments/hinokuni.yaml'], runDir: 'runs/bench'});
  */
--- a/packages/nutmeggauge/src/bench/charts.test.ts
+++ b/packages/nutmeggauge/src/bench/charts.test.ts
@@ -3,7 +3,7 @@
 import {renderLanes} from './charts.js';
 import {formatHtml, formatTextTable, renderHtmlTable} from './page.js';
 
-/** Left edge, top and width of the bars of one colour. */
+/** Returns left edge, top and width of the bars of one color, in px. */
 function readBars(svg: string, color: string) {
   const bars = svg.matchAll(
     new RegExp(
@@ -18,10 +18,10 @@
   }));
 }
 
-describe('plot of lanes', () => {
-  it('places bars by lane and time, cut off at the edges', () => {
-    // One engine works until half of the time, the next one from there to
-    // long after the end of the plot.
+describe('renderLanes', () => {
+  it('positions bars by lane and time and clips them to the plot area', () => {
+    // Lane a is busy during the first half of the time axis. Lane b is busy
+    // from the middle of the axis to past its end, and again after its end.
     const svg = renderLanes(
       't',
       's',
@@ -42,20 +42,20 @@
     );
     const [upper, lower, ...rest] = readBars(svg, '#123456');
     expect(rest).toEqual([]);
-    // The plot is 690 px wide, from 190 on; a lane is 11 px high.
+    // The plot area starts at x = 190 and is 690 px wide; a lane is 11 px high.
     expect([upper.x, upper.width]).toEqual([190, 345]);
     expect([lower.x, lower.width]).toEqual([535, 345]);
     expect(lower.y - upper.y).toEqual(11);
   });
 
-  it('draws no bar where nothing was done', () => {
+  it('renders an SVG without bars if there are no lanes and no series', () => {
     const svg = renderLanes('t', 's', [], [0, 1], []);
     expect(svg.startsWith('<svg')).toEqual(true);
   });
 });
 
-describe('tables of a report', () => {
-  it('show what names hold, and never as markup', () => {
+describe('report table formatting', () => {
+  it('escapes markup in HTML cells and replaces bars and control characters in Markdown cells', () => {
     const table = {head: ['id'], rows: [['a<b>&"']]};
     expect(renderHtmlTable(table)).toInclude('<td>a&lt;b&gt;&amp;&quot;</td>');
     expect(formatHtml('plain')).toEqual('plain');
--- a/packages/nutmeggauge/src/bench/charts.ts
+++ b/packages/nutmeggauge/src/bench/charts.ts
@@ -1,5 +1,6 @@
 /**
- * Plots of the bench and of `losses` as SVG, drawn by echarts without a browser.
+ * Renders the charts of `bench`, `measure` and `losses` as SVG, using echarts
+ * without a browser.
  */
 import * as echarts from 'echarts';
 import type {CustomSeriesRenderItem, EChartsOption} from 'echarts';
@@ -7,7 +8,7 @@
 const WIDTH = 900;
 const HEIGHT = 380;
 
-/** One named series of bars or points. */
+/** One named series of bars, with one value per category. */
 export interface ChartSeries {
   readonly name: string;
   readonly values: readonly number[];
@@ -23,7 +24,7 @@
   chart.setOption({
     animation: false,
     backgroundColor: '#fff',
-    // Without a browser text widths are estimated too small.
+    // Wide gaps, because echarts underestimates text widths without a browser.
     legend: {bottom: 0, itemGap: 36},
     grid: {left: 70, right: 20, top: 50, bottom: 70},
     ...option,
@@ -34,9 +35,10 @@
 }
 
 /**
- * Draws grouped bars.
+ * Renders a grouped bar chart.
  *
- * @param isLog - A logarithmic axis, for figures that span decades.
+ * @param isLog - Whether to use a logarithmic axis, for values that span
+ * several orders of magnitude.
  * @example
  * renderBars('TTFT p95 (ms)', ['1k-8k', '8k-32k'], [{name: 'round-robin', values: [40, 90]}], true);
  */
@@ -62,7 +64,7 @@
   });
 }
 
-/** Points of a measurement and the line fitted to them. */
+/** Measured points and the line fitted to them. */
 export interface FittedPoints {
   readonly name: string;
   readonly points: ReadonlyArray<readonly [number, number]>;
@@ -71,7 +73,7 @@
 }
 
 /**
- * Draws measured points with their fitted lines.
+ * Renders measured points together with their fitted lines.
  *
  * @example
  * renderFits('Gate memory', 'client accounts', 'MB', [fit]);
@@ -102,19 +104,19 @@
   });
 }
 
-/** One bar of time in a lane. */
+/** One time span in a lane of a timeline chart. */
 export interface LaneSpan {
-  /** Index of its lane. */
+  /** Index of the lane that contains the span. */
   readonly lane: number;
   readonly from: number;
   readonly to: number;
 }
 
-/** Bars of one meaning. */
+/** Time spans of one kind, drawn in the same color. */
 export interface SpanSeries {
   readonly name: string;
   readonly color: string;
-  /** From 0 to 1: bars that lie over each other add up. */
+  /** Opacity from 0 to 1; overlapping bars appear darker. */
   readonly opacity: number;
   readonly spans: readonly LaneSpan[];
 }
@@ -122,13 +124,15 @@
 /** Height of one lane, in px. */
 const LANE_HEIGHT = 11;
 
-/** Room around a plot of lanes, for names, title, axis and legend, in px. */
+/**
+ * Margins of a timeline chart for lane names, title, axis and legend, in px.
+ */
 const LANES_GRID = {left: 190, right: 20, top: 50, bottom: 70};
 
-/** Share of a lane that its bars fill. */
+/** Share of a lane's height that bars fill. */
 const LANE_FILL_RATIO = 0.8;
 
-/** Draws one bar, cut off at the edges of the plot. */
+/** Renders one bar, clipped at the edges of the plot area. */
 const renderSpan: CustomSeriesRenderItem = (params, api) => {
   const [x, y] = api.coord([api.value(0), api.value(2)]);
   const [right] = api.coord([api.value(1), api.value(2)]);
@@ -145,9 +149,9 @@
 };
 
 /**
- * Draws bars of time in named lanes, the first lane on top.
+ * Renders a timeline chart with named lanes, the first lane on top.
  *
- * @param range - First and last moment of the time axis.
+ * @param range - Start and end of the time axis.
  * @example
  * renderLanes('Engines', 's', ['e1 reads'], [0, 5], [{name: 'reading', color: '#48f', opacity: 0.4, spans: [{lane: 0, from: 1, to: 2}]}]);
  */
--- a/packages/nutmeggauge/src/bench/experiment.ts
+++ b/packages/nutmeggauge/src/bench/experiment.ts
@@ -1,6 +1,6 @@
 /**
- * Experiment files of `nutmeggauge bench`: one deployment, one load, and the
- * variants of the system that are compared under it.
+ * Schema of the experiment files of `nutmeggauge bench`: one deployment, one
+ * workload, and the variants of the system to compare under that workload.
  */
 import {SHORT_MAX_TOKENS, loadSettings} from '@nutmeggauge/core';
 import {z} from 'zod';
@@ -10,9 +10,9 @@
 
 const VariantSchema = z.object({
   name: z.string().min(1),
-  /** Settings of every gate, over the defaults. */
+  /** Settings of every gate that override the defaults. */
   gate: z.record(z.string(), z.unknown()).default({}),
-  /** Settings of every agent, over the defaults. */
+  /** Settings of every agent that override the defaults. */
   agent: z.record(z.string(), z.unknown()).default({}),
 });
 
@@ -23,25 +23,26 @@
     engines: z.number().int().min(1).max(64),
     plainServices: z.number().int().min(0).max(16),
     gates: z.number().int().min(1).max(16),
-    /** Prompt tokens that one engine reads a second. */
+    /** Prefill throughput of one engine, in tokens per second. */
     prefillRate: z.number().positive(),
-    /** Most prompt tokens that an engine reads in one step. */
+    /** Maximum number of prompt tokens that an engine prefills in one step. */
     chunkTokens: z.number().int().positive(),
   }),
   callers: z.object({
-    /** Time between a caller and a gate, one way, in ms. */
+    /** One-way network latency between a caller and a gate, in ms. */
     distanceMs: z.number().min(0),
     accounts: z.number().int().min(1),
-    /** Of these, how many are large, and their share of the requests. */
+    /** Number of client accounts that count as large. */
     largeAccounts: z.number().int().min(0),
+    /** Share of the requests that the large accounts send together, 0 to 1. */
     largeShare: z.number().min(0).max(1),
   }),
   load: z.object({
-    /** Completions a second (Poisson arrivals). */
+    /** Mean arrival rate of completions per second (Poisson process). */
     ratePerSecond: z.number().positive().max(500),
-    /** How long the mixed load runs, in s. */
+    /** Duration of the mixed load, in s. */
     durationSeconds: z.number().positive().max(600),
-    /** How long the short prompts run alone, in s. */
+    /** Duration of the baseline load that sends only short prompts, in s. */
     aloneSeconds: z.number().positive().max(600),
     longShare: z.number().positive().max(1),
     minPromptTokens: z.number().int().positive(),
@@ -50,14 +51,15 @@
     sharedPrefixTokens: z.number().int().min(0),
     sharedPrefixShare: z.number().min(0).max(1),
     maxNewTokens: z.number().int().positive(),
-    /** Not-repeatable orders a second, and the share that is sent twice. */
+    /** Non-idempotent order calls per second. */
     ordersPerSecond: z.number().min(0),
+    /** Share of the orders that callers send twice, 0 to 1. */
     repeatedOrderShare: z.number().min(0).max(1),
-    /** Window of every request, in ms. */
+    /** Time from sending a request to its deadline, in ms. */
     windowMs: z.number().int().positive(),
   }),
   faults: z.array(FaultSchema).default([]),
-  /** The first one is the baseline that the others are compared with. */
+  /** Variants to compare; the first variant is the baseline. */
   variants: z.array(VariantSchema).min(1),
 });
 
@@ -65,9 +67,9 @@
 export type Variant = Experiment['variants'][number];
 
 /**
- * Reads and checks an experiment file.
+ * Reads and validates an experiment file.
  *
- * @throws SettingsError when the file cannot be read or a key is bad.
+ * @throws SettingsError if the file cannot be read or a key is invalid.
  * @example
  * const experiment = loadExperiment('experiments/hinokuni.yaml');
  */
@@ -76,7 +78,7 @@
 }
 
 /**
- * Builds the accounts of an experiment.
+ * Builds the client accounts of an experiment.
  *
  * @example
  * buildAccounts(experiment).length; // 10
@@ -89,10 +91,13 @@
   }));
 }
 
-/** Entries of the key list that stand for the whole of the requests. */
+/** Length of the weighted key list: one entry per percent of the requests. */
 const KEY_LIST_LENGTH = 100;
 
-/** Lists keys so that a uniform draw gives the large accounts their share. */
+/**
+ * Builds a list of API keys in which keys repeat so that a uniform draw gives
+ * the large accounts their share of the requests.
+ */
 function buildWeightedKeys(experiment: Experiment): string[] {
   const keys = buildAccounts(experiment).map(account => account.key);
   const {largeAccounts, largeShare} = experiment.callers;
@@ -105,11 +110,14 @@
   );
 }
 
-/** Which part of the load a run sends. */
+/**
+ * Phase of a benchmark run: all prompt lengths and orders (`mixed`), or only
+ * short prompts as the baseline (`short-alone`).
+ */
 export type LoadPhase = 'mixed' | 'short-alone';
 
 /**
- * Builds the workload of one run.
+ * Builds the workload of one phase.
  *
  * @example
  * planWorkload(buildWorkload(experiment, 'mixed')).length;
--- a/packages/nutmeggauge/src/bench/page.ts
+++ b/packages/nutmeggauge/src/bench/page.ts
@@ -1,4 +1,4 @@
-/** HTML pages of reports: their frame and their tables. */
+/** Formats report pages and tables as HTML and Markdown. */
 
 const STYLE =
   'body{font:14px sans-serif;margin:2em}table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:4px 8px;text-align:right}';
@@ -11,7 +11,7 @@
 };
 
 /**
- * Makes text safe inside a page: ids and names come from callers.
+ * Escapes text for HTML; ids and names in reports may come from callers.
  *
  * @example
  * formatHtml('<b>'); // '&lt;b&gt;'
@@ -20,14 +20,14 @@
   return text.replace(/[&<>"]/g, char => ENTITIES[char]);
 }
 
-/** A table of text: a row of titles, and rows of cells. */
+/** A table with a header row and rows of text cells. */
 export interface TextTable {
   readonly head: readonly string[];
   readonly rows: ReadonlyArray<readonly string[]>;
 }
 
 /**
- * Renders a table as HTML.
+ * Renders a table as an HTML table element.
  *
  * @example
  * renderHtmlTable({head: ['gate'], rows: [['gate-1']]});
@@ -40,8 +40,9 @@
 }
 
 /**
- * Formats a table as Markdown. Bars and control characters become spaces: a
- * route's name with a line break would end its row, an escape colour the screen.
+ * Formats a table as Markdown. Replaces vertical bars and control characters
+ * in cells by spaces: a line break in a route's name would end the table row,
+ * and an escape sequence would change the terminal's colors.
  *
  * @example
  * formatTextTable({head: ['gate'], rows: [['gate-1']]});
@@ -54,9 +55,9 @@
 }
 
 /**
- * Renders a whole page.
+ * Renders a complete HTML page.
  *
- * @param parts - HTML, in order.
+ * @param parts - HTML fragments of the body, in order.
  * @example
  * renderPage('nutmeggauge bench: quick', [renderHtmlTable(table)]);
  */
--- a/packages/nutmeggauge/src/bench/report.ts
+++ b/packages/nutmeggauge/src/bench/report.ts
@@ -1,6 +1,6 @@
 /**
- * The report of an experiment: its figures as JSON, as a table of text, and
- * as an HTML page with plots.
+ * Writes the report of an experiment: the results as JSON, as a text table,
+ * and as an HTML page with charts.
  */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
@@ -22,7 +22,7 @@
 const formatMs = (value: number) => value.toFixed(0);
 const formatRatio = (value: number) => value.toFixed(2);
 
-/** Columns of the table, one row a variant. */
+/** Columns of the result table, which has one row per variant. */
 const COLUMNS: readonly Column[] = [
   ['variant', v => v.name],
   ['HOL p50', v => formatRatio(v.headOfLine.p50)],
@@ -51,7 +51,7 @@
 ];
 
 /**
- * Renders the figures as a Markdown table.
+ * Formats the results as a Markdown table.
  *
  * @example
  * console.log(formatTable(result));
@@ -67,7 +67,7 @@
   };
 }
 
-/** Draws every plot of an experiment. */
+/** Renders the charts of an experiment as SVG. */
 function renderPlots(result: ExperimentResult): readonly string[] {
   const {variants} = result;
   const names = variants.map(v => v.name);
@@ -96,23 +96,25 @@
       true,
     ),
     renderBars(
-      'Head-of-line slowdown of short prompts (mixed over alone)',
+      'Head-of-line slowdown of short prompts (TTFT mixed / alone)',
       names,
       [
         {name: 'p50', values: variants.map(v => v.headOfLine.p50)},
         {name: 'p95', values: variants.map(v => v.headOfLine.p95)},
       ],
     ),
-    renderBars('Whole answers within the window, a second', names, [
-      {name: 'goodput', values: variants.map(v => v.goodputPerSecond)},
-    ]),
+    renderBars(
+      'Goodput (complete answers before the deadline per second)',
+      names,
+      [{name: 'goodput', values: variants.map(v => v.goodputPerSecond)}],
+    ),
   ];
 }
 
 function renderHtml(result: ExperimentResult): string {
   const experiment = JSON.stringify(result.experiment, undefined, 2);
   return renderPage(`nutmeggauge bench: ${result.experiment.name}`, [
-    `<p>Started ${result.startedAt}. Times in ms. HOL: TTFT of short prompts under mixed load over the same alone.</p>`,
+    `<p>Started ${result.startedAt}. Times are in ms. HOL (head-of-line slowdown) is the TTFT of short prompts under mixed load divided by their TTFT without other load.</p>`,
     renderHtmlTable(buildTable(result)),
     ...renderPlots(result),
     `<h2>Experiment</h2><pre>${formatHtml(experiment)}</pre>`,
@@ -122,7 +124,7 @@
 /**
  * Writes `<name>.json` and `<name>.html` into `dir`.
  *
- * @returns Paths of the two files.
+ * @returns Paths of the JSON and the HTML file.
  * @example
  * writeReport(result, 'runs/bench');
  */
--- a/packages/nutmeggauge/src/bench/run-experiment.ts
+++ b/packages/nutmeggauge/src/bench/run-experiment.ts
@@ -1,6 +1,7 @@
 /**
- * Runs an experiment: for each variant a fresh cluster, the short prompts
- * alone, then the mixed load with its faults, on the same seeded arrivals.
+ * Runs an experiment. Each variant gets a fresh cluster, which first serves
+ * only the short prompts as a baseline and then the mixed load with fault
+ * injection. The seeded arrivals are the same for every variant.
  */
 import {join} from 'node:path';
 import {waitMs} from '@nutmeggauge/core';
@@ -19,52 +20,58 @@
 import type {Experiment, LoadPhase, Variant} from './experiment.js';
 import type {RoleUsage} from './usage-sampler.js';
 
-/** TTFT under mixed load over TTFT alone, at two percentiles. */
+/**
+ * Ratio of the TTFT of short prompts under mixed load to their TTFT without
+ * other load, at two percentiles.
+ */
 export interface HeadOfLineSlowdown {
   readonly p50: number;
   readonly p95: number;
 }
 
-/** Figures of one variant. */
+/** Results of one variant. */
 export interface VariantResult {
   readonly name: string;
   readonly alone: RunSummary;
   readonly mixed: RunSummary;
-  /** Whole answers within their window, a second of mixed load. */
+  /** Complete answers before their deadline, per second of mixed load. */
   readonly goodputPerSecond: number;
-  /** TTFT of short prompts under mixed load over the same alone. */
+  /** Slowdown of all short prompts. */
   readonly headOfLine: HeadOfLineSlowdown;
-  /** The same for prompts of 1k to 8k tokens only. */
+  /** Slowdown of prompts of 1k to 8k tokens. */
   readonly headOfLineShortest: HeadOfLineSlowdown;
-  /** Processor time and memory of the gates and agents under mixed load. */
+  /** CPU time and memory of the gates and agents under mixed load, by role. */
   readonly usage: Readonly<Record<string, RoleUsage>>;
 }
 
-/** All figures of an experiment. */
+/** Results of all variants of an experiment. */
 export interface ExperimentResult {
   readonly experiment: Experiment;
   readonly startedAt: string;
   readonly variants: readonly VariantResult[];
 }
 
-/** Options of a run. */
+/** Options for running an experiment. */
 export interface RunExperimentOptions {
-  /** Folder for the logs and settings of every variant's cluster. */
+  /** Directory for the logs and settings of every variant's cluster. */
   readonly runDir: string;
-  /** Prints one line of progress. */
+  /** Prints one progress line. */
   readonly print: (line: string) => void;
 }
 
 const SHORTEST_BUCKET = LENGTH_BUCKETS[0].name;
 
-/** Pause between two loads on one cluster, so that the first one's end is over, in ms. */
+/**
+ * Pause between two phases on one cluster, which lets requests of the first
+ * phase finish, in ms.
+ */
 const LOAD_GAP_MS = 500;
 
-/** Requests between two lines of progress. */
+/** Number of results between two progress lines. */
 const PROGRESS_INTERVAL = 500;
 
 /**
- * Runs every variant of an experiment, one after the other.
+ * Runs every variant of an experiment sequentially.
  *
  * @example
  * const result = await runExperiment(loadExperiment('experiments/hinokuni.yaml'), {runDir: 'runs/x', print: console.log});
--- a/packages/nutmeggauge/src/bench/usage-sampler.ts
+++ b/packages/nutmeggauge/src/bench/usage-sampler.ts
@@ -1,22 +1,22 @@
 /**
- * Processor time and memory of a cluster's processes while a load runs, as
- * the operating system accounts them.
+ * Samples CPU time and memory of a cluster's processes under load, as the
+ * operating system reports them.
  */
 import pidusage from 'pidusage';
 
-/** Usage of the processes of one role. */
+/** Resource usage of the processes of one role. */
 export interface RoleUsage {
   readonly processes: number;
-  /** Mean share of one core used by one process, 0 to 1. */
+  /** Mean CPU usage of one process as a share of one core, 0 to 1. */
   readonly coreShare: number;
-  /** Largest resident memory seen of one process, in MB. */
+  /** Largest resident memory of any one process, in MB. */
   readonly peakMb: number;
 }
 
 const SAMPLE_MS = 1000;
 const BYTES_PER_MB = 1024 * 1024;
 
-/** Names the role of a process; undefined for stand-ins. */
+/** Returns the role of a process by its name; undefined for stand-ins. */
 function findRole(name: string): string | undefined {
   if (name.startsWith('gate-')) return 'gate';
   if (name.startsWith('agent-')) return 'agent';
@@ -24,7 +24,7 @@
 }
 
 /**
- * Samples usage between `start` and `finish`.
+ * Samples resource usage of gates and agents between `start` and `finish`.
  *
  * @example
  * const sampler = new UsageSampler(cluster.listPids());
@@ -89,7 +89,7 @@
           const peak = Math.max(memory, this.peakBytes.get(pid) ?? 0);
           this.peakBytes.set(pid, peak);
         } catch {
-          // The process was killed by a fault; its last figures stand.
+          // A fault killed the process; the values of its last sample remain.
         }
       }),
     );
--- a/packages/nutmeggauge/src/load/client.ts
+++ b/packages/nutmeggauge/src/load/client.ts
@@ -1,55 +1,61 @@
 /**
- * The load tool's caller: sends one planned request through a gate and
- * measures what a caller sees (status, time to first token, whole answer).
+ * HTTP client of the load generator: sends one planned request through a gate
+ * and measures what the caller observes (status, time to first token, total
+ * time, completeness of the answer).
  */
 import {readClockMs, readSseEvents, waitMs} from '@nutmeggauge/core';
 import {request} from 'undici';
 import type {Dispatcher} from 'undici';
 
 /**
- * - `answered`: the whole answer came.
- * - `refused`: told that it did not run, and when to come back.
- * - `unknown`: told that it may have run.
- * - `broken`: no whole answer and no final word.
+ * Outcome of a request as its caller observes it.
+ *
+ * - `answered`: the complete answer arrived.
+ * - `refused`: the gate reported that the request was not executed, with a
+ *   delay after which to retry.
+ * - `unknown`: the gate reported that the request may have been executed.
+ * - `broken`: neither a complete answer nor an error report arrived.
  */
 export type Verdict = 'answered' | 'refused' | 'unknown' | 'broken';
 
-/** What the caller saw of one request. */
+/** Result of one request as its caller observes it. */
 export interface CallerResult {
   readonly index: number;
   readonly kind: 'generate' | 'order';
   readonly httpStatus: number;
   readonly verdict: Verdict;
   readonly gateUrl: string;
-  /** When it was sent, in epoch ms. */
+  /** Time at which the caller sent the request, in epoch ms. */
   readonly sentAt: number;
-  /** Id that the gate gave the request, when an error body told it. */
+  /** Request id assigned by the gate, if an error body contains it. */
   readonly requestId?: string;
   readonly errorType?: string;
   readonly reason?: string;
   readonly ttftMs?: number;
   readonly totalMs: number;
-  /** Pauses between the pieces of a streamed answer, in ms. */
+  /**
+   * Inter-token latencies: times between chunks of a streamed answer, in ms.
+   */
   readonly gapsMs: readonly number[];
   readonly slip?: number;
-  /** How a broken answer showed, at which gate and when. */
+  /** Error text of a broken answer, with the gate's URL and the time. */
   readonly brokenBy?: string;
-  /** Code of the connection's error. */
+  /** Error code of the connection, such as `ECONNRESET`. */
   readonly errorCode?: string;
 }
 
-/** How a caller reaches the system. */
+/** Gate, credentials and timing with which a caller sends a request. */
 export interface CallerOptions {
   readonly gateUrl: string;
   /** API key of the caller's client account. */
   readonly key: string;
-  /** Window of the request, in ms. */
+  /** Time from sending the request to its deadline, in ms. */
   readonly deadlineMs: number;
-  /** Time that a message takes from the caller to the gate, one way, in ms. */
+  /** One-way network latency between caller and gate, in ms. */
   readonly distanceMs: number;
   /**
-   * Connections of the caller.
-   * @default undici's global ones
+   * HTTP connection pool of the caller.
+   * @default undici's global dispatcher
    */
   readonly dispatcher?: Dispatcher;
 }
@@ -60,10 +66,13 @@
   readonly request_id?: string;
 }
 
-/** Time past its window after which a caller gives a request up, in ms. */
+/** Time past the deadline after which a caller abandons a request, in ms. */
 const TIMEOUT_SLACK_MS = 10_000;
 
-/** Whole-answer check: the stand-in engines emit ` t0 t1 …` in order. */
+/**
+ * Checks that `text` is a complete answer of `expected` tokens. The stand-in
+ * engines emit the tokens ` t0 t1 …` in order.
+ */
 function isWholeAnswer(text: string, expected: number): boolean {
   return text === Array.from({length: expected}, (_, i) => ` t${i}`).join('');
 }
@@ -76,7 +85,10 @@
   return mayHaveRun ? 'unknown' : 'refused';
 }
 
-/** What is left to trace a lost request by: its caller alone saw it. */
+/**
+ * Describes a failed request for troubleshooting. A lost request may have
+ * left no trace except at its caller.
+ */
 function describeFailure(
   options: CallerOptions,
   startedAt: number,
@@ -126,7 +138,7 @@
   });
 }
 
-/** Reads one streamed answer; times are from the caller's send. */
+/** Reads one streamed answer; `ttftMs` counts from the caller's send. */
 async function readStream(
   response: Dispatcher.ResponseData,
   startedAt: number,
@@ -158,7 +170,7 @@
 }
 
 /**
- * Streams one completion and classifies the answer.
+ * Sends one streaming completion request and classifies the answer.
  *
  * @example
  * const result = await sendCompletion(options, 0, prompt, 32);
@@ -191,7 +203,7 @@
     }
     const answer = await readStream(response, startedAt, options.distanceMs);
     const isWhole = answer.isDone && isWholeAnswer(answer.text, maxTokens);
-    const mismatch = `${answer.isDone ? 'other' : 'no'} end, ${answer.text.length} characters`;
+    const mismatch = `${answer.isDone ? 'unexpected text' : 'stream ended early'}, ${answer.text.length} characters`;
     return {
       ...base,
       ...toErrorFields(answer.error),
@@ -218,7 +230,7 @@
 }
 
 /**
- * Places one not-repeatable order call with an Idempotency-Key.
+ * Sends one non-idempotent order call with an Idempotency-Key.
  *
  * @example
  * await sendOrder(options, 7, uuidv7());
--- a/packages/nutmeggauge/src/load/executions.ts
+++ b/packages/nutmeggauge/src/load/executions.ts
@@ -1,24 +1,27 @@
 /**
- * What the targets of a run executed, read from their logs: the logs
- * outlive a target that was killed, its memory does not.
+ * Reads from the targets' logs which requests were executed in a run. Logs
+ * are used because they survive the kill of a target, unlike its memory.
  */
 import {mergeTimeline} from '../timeline/merge.js';
 
-/** One execution at a target. */
+/** One execution of a request at a target. */
 export interface ExecutionRecord {
   readonly requestId: string;
-  /** Key of the at-most-once ledger, for plain service calls. */
+  /**
+   * Key of the request in the at-most-once ledger; only for plain service
+   * calls.
+   */
   readonly ledgerKey?: string;
 }
 
-/** Log events by which stand-ins tell that they run a request. */
+/** Events that stand-ins log when they execute a request. */
 const EXECUTION_EVENTS: ReadonlySet<string> = new Set([
   'sequence_submitted',
   'call_executed',
 ]);
 
 /**
- * Reads every execution from the logs in `runDir`.
+ * Returns every execution that the logs in `runDir` record.
  *
  * @example
  * readExecutions('runs/demo-1').length;
--- a/packages/nutmeggauge/src/load/run-plan.ts
+++ b/packages/nutmeggauge/src/load/run-plan.ts
@@ -1,7 +1,7 @@
 /**
- * Sends a plan open-loop: each request goes out at its planned time whether
- * or not earlier ones have been answered, so a slow system cannot hide its
- * queue by slowing the callers down.
+ * Open-loop load generator: sends each request at its planned time whether or
+ * not earlier requests have been answered. A slow system therefore cannot hide
+ * its queueing delay by slowing the callers down.
  */
 import {waitMs} from '@nutmeggauge/core';
 import {v7 as uuidv7} from 'uuid';
@@ -11,28 +11,28 @@
 import type {CallerResult} from './client.js';
 import type {PlannedRequest} from './workload.js';
 
-/** How to run a plan. */
+/** Options for running a plan. */
 export interface RunOptions {
   readonly gateUrls: readonly string[];
-  /** Window of every request, in ms. */
+  /** Time from sending a request to its deadline, in ms. */
   readonly deadlineMs: number;
   readonly sharedPrefixTokens: number;
   /**
-   * Time that a message takes between a caller and a gate, one way, in ms.
+   * One-way network latency between callers and gates, in ms.
    * @default 0
    */
   readonly distanceMs?: number;
   /**
-   * False while the balancer sends nothing to this gate.
-   * @default always true
+   * Returns false while the load balancer has this gate out of rotation.
+   * @default every gate is in rotation
    */
   readonly isTaking?: (gateUrl: string) => boolean;
   /**
-   * Connections of the callers.
-   * @default undici's global ones
+   * HTTP connection pool of the callers.
+   * @default undici's global dispatcher
    */
   readonly dispatcher?: Dispatcher;
-  /** Called after each result, for progress lines. */
+  /** Callback after each result, used to report progress. */
   readonly onResult?: (
     result: CallerResult,
     done: number,
@@ -40,7 +40,10 @@
   ) => void;
 }
 
-/** Keys of one run's orders: a caller makes its key when it first sends. */
+/**
+ * Idempotency keys of the orders of one run. The first send of an order
+ * generates its key; repeated sends reuse the key.
+ */
 class IdempotencyKeys {
   private readonly byName = new Map<string, string>();
 
@@ -53,7 +56,10 @@
   }
 }
 
-/** Takes the gates in turn; leaves out those that the balancer leaves out. */
+/**
+ * Picks a gate round-robin among those in rotation, or among all gates if none
+ * is in rotation.
+ */
 function pickGate(
   {gateUrls, isTaking = () => true}: RunOptions,
   position: number,
@@ -64,7 +70,7 @@
 }
 
 /**
- * Sends every planned request and resolves with all results, in plan order.
+ * Sends every planned request and resolves with the results in plan order.
  *
  * @example
  * const results = await runPlan(plan, {gateUrls, deadlineMs: 30_000, sharedPrefixTokens: 2000});
--- a/packages/nutmeggauge/src/load/summary.ts
+++ b/packages/nutmeggauge/src/load/summary.ts
@@ -1,7 +1,7 @@
 /**
- * Turns caller results into the figures the users measure: answered,
- * refused, unknown, lost, doubled, false "not run", TTFT by prompt length,
- * and the pauses between tokens.
+ * Summarizes caller results and target executions: outcome counts (answered,
+ * refused, unknown, lost), duplicate executions, false "not run" answers, time
+ * to first token by prompt length, and inter-token latency.
  */
 import {createLatencyHistogram} from '@nutmeggauge/core';
 import {LENGTH_BUCKETS, resolveBucket} from './workload.js';
@@ -10,37 +10,39 @@
 import type {ExecutionRecord} from './executions.js';
 import type {PlannedRequest} from './workload.js';
 
-/** Figures of one run. */
+/** Summary of one run. */
 export interface RunSummary {
   readonly sent: number;
   readonly answered: number;
   readonly refused: number;
   readonly refusedByReason: Readonly<Record<string, number>>;
   readonly unknown: number;
-  /** Requests with neither a whole answer nor an honest final word. */
+  /** Requests that got neither a complete answer nor an error report. */
   readonly lost: number;
-  /** How each of them showed to its caller. */
+  /** Description of each lost request as its caller observed it. */
   readonly losses: readonly string[];
-  /** Not-repeatable keys that ran more than once. */
+  /** Idempotency keys that targets executed more than once. */
   readonly doubled: number;
-  /** Requests whose caller heard "not run" although a target ran them. */
+  /**
+   * Requests that a gate reported as not executed although a target ran them.
+   */
   readonly falseNotRun: number;
-  /** Order calls whose repeat got a different slip than the first. */
+  /** Orders whose repeated sends returned different slip numbers. */
   readonly repeatMismatches: number;
   readonly ttftByBucket: Readonly<Record<string, LatencySummary>>;
-  /** TTFT of prompts of the short lane, all buckets together. */
+  /** TTFT of prompts of up to 32k tokens, which run in the short lane. */
   readonly shortTtft: LatencySummary;
-  /** Pauses between tokens. */
+  /** Inter-token latency of streamed answers. */
   readonly gaps: LatencySummary;
 }
 
-/** Buckets of prompts that run in the short lane. */
+/** Prompt-length buckets that run in the short lane. */
 const SHORT_BUCKETS: ReadonlySet<string> = new Set(['1k-8k', '8k-32k']);
 
 /**
- * Summarises one run.
+ * Summarizes one run.
  *
- * @param executions - Everything that targets ran, from their logs.
+ * @param executions - Executions of all targets, read from their logs.
  * @example
  * const summary = summarizeRun(plan, results, readExecutions(runDir));
  */
@@ -144,7 +146,10 @@
   };
 }
 
-/** Tells whether a run kept the promises on loss, doubles and "not run". */
+/**
+ * Returns true if the run had no lost request, no duplicate execution, no
+ * false "not run" answer and no repeated order with a different slip number.
+ */
 export function isClean(summary: RunSummary): boolean {
   return (
     summary.lost === 0 &&
@@ -155,7 +160,7 @@
 }
 
 /**
- * Renders a summary as the lines the demo prints.
+ * Formats a summary as text lines for the terminal.
  *
  * @example
  * console.log(formatSummary(summary));
--- a/packages/nutmeggauge/src/load/workload.ts
+++ b/packages/nutmeggauge/src/load/workload.ts
@@ -1,51 +1,59 @@
 /**
- * A seeded, open-loop plan of requests: arrival times, prompt lengths from
- * 1k to 1M tokens (a share of them over 100k), shared prefixes, accounts,
- * and not-repeatable order calls, some sent twice as a caller's retry.
+ * Generates a seeded, open-loop plan of requests: arrival times, prompt
+ * lengths from 1k to 1M tokens (a share of them over 100k), shared prefixes,
+ * client accounts, and non-idempotent order calls, some of them sent twice
+ * like a caller's retry.
  */
 import {CHARS_PER_TOKEN} from '@nutmeggauge/core';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 
-/** What to generate. */
+/** Parameters of a generated workload. */
 export interface WorkloadSpec {
   readonly seed: number;
-  /** Completions in the plan. */
+  /** Number of completion requests in the plan. */
   readonly requests: number;
-  /** Mean arrivals a second (Poisson). */
+  /** Mean arrival rate per second (Poisson process). */
   readonly ratePerSecond: number;
-  /** Share of prompts over `longThresholdTokens`. */
+  /** Share of prompts longer than `longThresholdTokens`, 0 to 1. */
   readonly longShare: number;
   readonly minPromptTokens: number;
   readonly maxPromptTokens: number;
   readonly longThresholdTokens: number;
-  /** Tokens of the system prompt that a share of requests start with. */
+  /**
+   * Length of the system prompt that `sharedPrefixShare` of the requests start
+   * with, in tokens.
+   */
   readonly sharedPrefixTokens: number;
-  /** Share of requests that start with the shared prefix. */
+  /** Share of requests that start with the shared prefix, 0 to 1. */
   readonly sharedPrefixShare: number;
-  /** Tokens each request asks to generate. */
+  /** Number of tokens that each completion request generates. */
   readonly maxNewTokens: number;
-  /** API keys to spread requests over. */
+  /** API keys that completion requests are distributed over. */
   readonly keys: readonly string[];
-  /** API keys of accounts that may place orders. */
+  /** API keys of client accounts that may place orders. */
   readonly orderKeys: readonly string[];
-  /** Not-repeatable order calls in the plan. */
+  /** Number of non-idempotent orders in the plan, without repeats. */
   readonly orders: number;
-  /** Of these, how many the caller sends a second time with the same key. */
+  /**
+   * Number of orders that the caller sends a second time with the same
+   * Idempotency-Key.
+   */
   readonly repeatedOrders: number;
   /**
-   * How long after the first try a repeat is sent, in ms.
+   * Delay between the first send of an order and its repeat, in ms.
    * @default 50
    */
   readonly repeatAfterMs?: number;
   /**
-   * Leaves out the longer prompts of the same plan: what short ones see alone.
-   * @default every length is sent
+   * Drops prompts longer than this many tokens from the plan, which gives the
+   * baseline latency of short prompts without competing long prompts.
+   * @default no prompt is dropped
    */
   readonly onlyUpToTokens?: number;
 }
 
-/** One planned request. */
+/** One planned request: a streamed completion or an order call. */
 export type PlannedRequest =
   | {
       readonly kind: 'generate';
@@ -61,12 +69,16 @@
       readonly index: number;
       readonly atMs: number;
       readonly key: string;
-      /** Orders of the same name carry the same Idempotency-Key. */
+      /**
+       * Name of the order; requests with the same name carry the same
+       * Idempotency-Key.
+       */
       readonly orderName: string;
     };
 
 /**
- * Builds the plan of `spec`; the same seed gives the same plan.
+ * Generates the plan of `spec`, in order of arrival; the same seed gives the
+ * same plan.
  *
  * @example
  * planWorkload({...DEMO_WORKLOAD, seed: 7}).length;
@@ -79,7 +91,8 @@
   const longInterval = Math.max(1, Math.round(1 / spec.longShare));
   for (let index = 0; index < spec.requests; index++) {
     atMs += (-Math.log(1 - draw()) / spec.ratePerSecond) * 1000;
-    // Every `longEvery`-th request is long, so short plans still hold the share.
+    // Long prompts come at a fixed interval, so that the share also holds in
+    // plans of few requests.
     const long = index % longInterval === longInterval - 1;
     const low = long ? spec.longThresholdTokens : spec.minPromptTokens;
     const high = long ? spec.maxPromptTokens : spec.longThresholdTokens;
@@ -120,11 +133,12 @@
 }
 
 /**
- * Builds the prompt text of a planned completion; shared prompts begin with
- * the same `sharedPrefixTokens`, the rest differs from the first block on.
+ * Builds the prompt text of a planned completion. Prompts with a shared prefix
+ * begin with the same `sharedPrefixTokens` tokens; all other prompts differ
+ * from each other from the first KV-cache block on.
  *
  * @example
- * renderPrompt(planned, 2000).length; // 4 characters a token
+ * renderPrompt(planned, 2000).length; // 4 characters per token
  */
 export function renderPrompt(
   planned: Extract<PlannedRequest, {kind: 'generate'}>,
@@ -138,7 +152,7 @@
   return (prefix + `q${index} `).padEnd(length, 'word').slice(0, length);
 }
 
-/** Prompt-length buckets that TTFT is reported by. */
+/** Prompt-length buckets for reporting TTFT; `upTo` is in tokens, inclusive. */
 export const LENGTH_BUCKETS = [
   {name: '1k-8k', upTo: 8_000},
   {name: '8k-32k', upTo: 32_000},
@@ -147,7 +161,7 @@
 ] as const;
 
 /**
- * Names the bucket of a prompt length.
+ * Returns the name of the bucket for a prompt length.
  *
  * @example
  * resolveBucket(50_000); // '32k-100k'
