--- a/deploy/start-cached.cjs
+++ b/deploy/start-cached.cjs
@@ -1,13 +1,13 @@
-// Starts a bundled program from the code that V8 compiled for it at the build.
+// Starts a bundled program with the V8 code cache that the build created.
 //
 //   node deploy/start-cached.cjs target/nutmeggauge-gate.cjs [arguments]
 //
-// After a kill nobody is served until the new process listens, and compiling
-// the bundle was the largest part of its start. With the cache a gate listens
-// after 240 instead of 430 ms of processor time (medians of seven starts
-// beside a busy machine; Node alone takes 175 ms of it). V8 refuses a cache
-// of another version or of other flags; the program then compiles as usual
-// and a line says so.
+// After a kill, a node serves no requests until the new process listens, and
+// compiling the bundle takes most of the startup time. With the cache a gate
+// listens after 240 ms of CPU time instead of 430 ms (medians of seven starts
+// on a busy machine); Node itself takes 175 ms of that. V8 rejects a cache from
+// another V8 version or other flags; the program then compiles as usual and
+// logs `code_cache_unused`.
 'use strict';
 
 const {readFileSync} = require('node:fs');
@@ -15,12 +15,12 @@
 const {resolve} = require('node:path');
 const {Script} = require('node:vm');
 
-/** Path of the cache that belongs to a program. */
+/** Returns the path of a program's code cache. */
 function getCachePath(program) {
   return `${program}.cache`;
 }
 
-/** Reads the cache of a program; nothing where none was built. */
+/** Reads the code cache of a program; undefined if the file does not exist. */
 function readCache(program) {
   try {
     return readFileSync(getCachePath(program));
@@ -46,12 +46,13 @@
 module.exports = {getCachePath, runProgram};
 
 if (require.main === module) {
-  // Until the program listens to it, a SIGHUP would end the process: a change
-  // of the settings during a restart then cost another restart. Before this
-  // line, while Node itself starts, nothing can keep the signal from doing so.
+  // Ignores SIGHUP until the program installs its own handler: otherwise a
+  // settings reload during a restart would terminate the process and cause
+  // another restart. A SIGHUP while Node itself starts still does so.
   process.on('SIGHUP', () => undefined);
   process.stdout.write('{"level":"info","event":"program_starting"}\n');
-  // The program finds its own arguments where it would without this file.
+  // Removes the program's path from argv, so that the program finds its own
+  // arguments at the usual positions.
   const [program] = process.argv.splice(2, 1);
   runProgram(resolve(program));
 }
--- a/packages/agent/bin/nutmeggauge-agent.js
+++ b/packages/agent/bin/nutmeggauge-agent.js
@@ -1,7 +1,6 @@
 #!/usr/bin/env node
-// Stands in the repository, so that npm links the command on a fresh clone:
-// npm leaves out a command whose file is not there yet, and the compiled one
-// is only there after the build.
+// Wrapper of the compiled command in dist/. npm links a command only if its
+// file exists at install time, and dist/ does not exist before the build.
 import {existsSync} from 'node:fs';
 import process from 'node:process';
 import {URL, fileURLToPath} from 'node:url';
--- a/packages/nutmeggauge/src/measure/agent-measures.ts
+++ b/packages/nutmeggauge/src/measure/agent-measures.ts
@@ -1,6 +1,7 @@
 /**
- * Slopes of the agent: memory, processor time and control bytes by links to
- * gates, by requests and by streamed text, and memory by keys in the ledger.
+ * Measures cost slopes of the agent: memory, CPU time and control bytes per
+ * gate link, request and streamed chunk, and memory per idempotency key in the
+ * ledger.
  */
 import {v7 as uuidv7} from 'uuid';
 import {RpcMethod, waitMs} from '@nutmeggauge/core';
@@ -29,15 +30,19 @@
 
 const LINK_COUNTS = [1, 10, 50, 150];
 const CALL_RATES = [1, 10, 40, 120];
-/** Links and calls a second as at the size to design for. */
+/** Number of links to one agent at the design size. */
 const SPARSE_LINKS = 23;
+/** Call rates around that of one agent at the design size, in calls/s. */
 const SPARSE_RATES = [0.5, 1, 1.5, 2];
 const LEDGER_SIZES = [0, 5000, 15_000, 30_000];
-/** Keyed calls sent at the same time while a ledger is filled. */
+/** Number of concurrent calls while the ledger is filled with keys. */
 const LEDGER_BATCH = 40;
 const CALL_WINDOW_MS = 60_000;
 
-/** Starts an agent process before a stand-in, with links as gates open them. */
+/**
+ * Starts an agent process in front of a stand-in and opens `links` gate links
+ * to it.
+ */
 async function startLinkedAgent(
   runDir: string,
   links: number,
@@ -108,7 +113,7 @@
   });
 }
 
-/** Runs `fit` on an agent with `links` links that are sent calls in turn. */
+/** Runs `fit` on an agent that receives calls over `links` links in turn. */
 async function measureCalls(
   runDir: string,
   links: number,
@@ -144,7 +149,7 @@
   return slopes;
 }
 
-/** Memory by keys in the ledger. */
+/** Measures memory by number of keys in the ledger. */
 async function measureLedger(runDir: string): Promise<Slope[]> {
   const {agent, call, close} = await startLinkedAgent(runDir, 1);
   const rss: Array<[number, number]> = [];
--- a/packages/nutmeggauge/src/measure/capacity.test.ts
+++ b/packages/nutmeggauge/src/measure/capacity.test.ts
@@ -6,9 +6,10 @@
 import {writeCapacity} from './capacity.js';
 import {fitSlope} from './fit.js';
 
-describe('capacity figures', () => {
-  it('are written when a figure does not vary', () => {
-    // Guards against a constant figure, whose fit has no R².
+describe('writeCapacity', () => {
+  it('writes a slope whose measured values are all equal', () => {
+    // Equal values have no variance, so that the R² of their fit is NaN. JSON
+    // would store NaN as null, which cannot be formatted as a number.
     const constant = fitSlope('agent.x', 'calls', 'bytes/s', [
       [1, 155],
       [2, 155],
--- a/packages/nutmeggauge/src/measure/capacity.ts
+++ b/packages/nutmeggauge/src/measure/capacity.ts
@@ -1,12 +1,12 @@
 /**
- * Works out, from measured slopes, what each role needs at the size that
- * letter 1 sets, and holds it against the letter's budget of control.
+ * Estimates from measured slopes which resources each role needs at the design
+ * size, and compares them with the budget for control overhead.
  */
 import {readFileSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
 import type {Measurement} from './measure.js';
 
-/** The size to design for (letter 1). */
+/** Deployment size and traffic that users require the system to support. */
 const DESIGN_SIZE = {
   gates: 350,
   targets: 1500,
@@ -17,31 +17,32 @@
   changesPerDay: 910,
 } as const;
 
-/** Budget of control of one node (letter 1). */
+/** Limits that users set for the control overhead of one node. */
 const CONTROL_BUDGET = {
   corePercent: 4.5,
   memoryMb: 256,
   bytesPerSecond: 3000,
 } as const;
 
-/** Settings of gates and agents at that size. */
+/** Settings of gates and agents at the design size. */
 const DESIGN_SETTINGS = {
-  /** `routing.subsetSize`: targets of each pool that a gate links to. */
+  /** `routing.subsetSize`: number of targets per pool that a gate links to. */
   subsetSize: 4,
-  /** `heartbeatMs` of the agents. */
+  /** `heartbeatMs` of the agents: their heartbeat interval, in ms. */
   heartbeatMs: 10_000,
 } as const;
 
-/** Heartbeat under which the slopes by links were measured, in ms. */
+/** Heartbeat interval during the measurement of the slopes by links, in ms. */
 const MEASURED_HEARTBEAT_MS = 1000;
 
-/** Characters of prompt text of a mean request: 29,000 tokens of 4. */
+/** Mean prompt length per request, in KB: 29,000 tokens of 4 characters. */
 const MEAN_PROMPT_KB = 116;
 
 const SECONDS_PER_DAY = 86_400;
 
-/** Share of requests that carry a key, and how long a ledger keeps one, in s. */
+/** Share of requests that carry an idempotency key, 0 to 1. */
 const KEYED_REQUEST_SHARE = 0.1;
+/** Time for which an agent's ledger retains an idempotency key, in s. */
 const KEY_RETENTION_S = 900;
 
 interface FigureRow {
@@ -53,16 +54,16 @@
   readonly budget?: number;
 }
 
-/** Slopes by name, with the measured line's value at x. */
+/** Looks up measured slopes by name; values are NaN if the name is missing. */
 class SlopeTable {
   constructor(private readonly measurement: Measurement) {}
 
-  /** The slope alone: what one more costs. */
+  /** Returns the slope: the cost of one more link, request or other unit. */
   readSlope(name: string): number {
     return this.find(name).slope;
   }
 
-  /** The line's value at `x`. */
+  /** Returns the value of the fitted line at `x`. */
   estimateAt(name: string, x: number): number {
     const {slope, intercept} = this.find(name);
     return intercept + slope * x;
@@ -74,22 +75,23 @@
   }
 }
 
-/** What a process of one role meets at the letter's size. */
+/** Load on one process of a role at the design size. */
 interface RoleLoad {
   readonly role: 'gate' | 'agent';
   readonly links: number;
   readonly requestsPerSecond: number;
-  readonly piecesPerSecond: number;
-  /** Memory beside that of its links, in MB, and what it is made of. */
+  readonly chunksPerSecond: number;
+  /** Memory without that of the links, in MB. */
   readonly stateMb: number;
+  /** Description of the state that `stateMb` holds. */
   readonly state: string;
-  /** Processor time of taking records in, in % of a core. */
+  /** CPU time for applying configuration records, in % of a core. */
   readonly recordCorePercent: number;
   readonly recordBytesPerSecond: number;
 }
 
 /**
- * Lists every figure at the letter's size.
+ * Returns the estimated figures of every role at the design size.
  *
  * @example
  * listFigures(measurement).filter(row => row.budget !== undefined);
@@ -103,12 +105,12 @@
   ];
 }
 
-/** Idle cost at the heartbeat of that size, from the one measured at 1 s. */
+/** Scales an idle cost measured at a 1 s heartbeat to the design heartbeat. */
 function toDesignHeartbeat(perSecond: number): number {
   return (perSecond * MEASURED_HEARTBEAT_MS) / DESIGN_SETTINGS.heartbeatMs;
 }
 
-/** Cost a second of something that each change of the configuration costs. */
+/** Converts a cost per configuration change to a mean cost per second. */
 function toPerSecond(perChange: number): number {
   return (perChange * DESIGN_SIZE.changesPerDay) / SECONDS_PER_DAY;
 }
@@ -122,12 +124,12 @@
     role: 'gate',
     links: DESIGN_SIZE.models * DESIGN_SETTINGS.subsetSize,
     requestsPerSecond: DESIGN_SIZE.requestsPerSecond / DESIGN_SIZE.gates,
-    piecesPerSecond: DESIGN_SIZE.tokensPerSecond / DESIGN_SIZE.gates,
+    chunksPerSecond: DESIGN_SIZE.tokensPerSecond / DESIGN_SIZE.gates,
     stateMb:
       slopes.estimateAt('gate.rss_mb_by_accounts', DESIGN_SIZE.accounts) +
       slopes.readSlope('gate.rss_mb_by_targets') * DESIGN_SIZE.targets,
     state: `record of ${DESIGN_SIZE.accounts} accounts and ${DESIGN_SIZE.targets} targets`,
-    // Milliseconds a second are tenths of a percent.
+    // One ms of CPU time per second is a tenth of a percent of a core.
     recordCorePercent: toPerSecond(recordCpuMs) / 10,
     recordBytesPerSecond: toPerSecond(
       slopes.estimateAt(
@@ -146,7 +148,7 @@
     role: 'agent',
     links: (DESIGN_SIZE.gates * DESIGN_SETTINGS.subsetSize) / targetsPerModel,
     requestsPerSecond,
-    piecesPerSecond: DESIGN_SIZE.tokensPerSecond / DESIGN_SIZE.targets,
+    chunksPerSecond: DESIGN_SIZE.tokensPerSecond / DESIGN_SIZE.targets,
     stateMb:
       slopes.estimateAt('agent.rss_mb_by_links', 0) +
       slopes.readSlope('agent.rss_mb_by_ledger_keys') * keys,
@@ -165,7 +167,7 @@
   slopes: SlopeTable,
   load: RoleLoad,
 ): readonly FigureRow[] {
-  const {role, links, requestsPerSecond, piecesPerSecond} = load;
+  const {role, links, requestsPerSecond, chunksPerSecond} = load;
   const promptKb = requestsPerSecond * MEAN_PROMPT_KB;
   const readSlope = (name: string) => slopes.readSlope(`${role}.${name}`);
   const idleBytes = toDesignHeartbeat(
@@ -205,20 +207,22 @@
     {
       role,
       figure: 'processor time, traffic',
-      derivation: `${traffic}, ${piecesPerSecond.toFixed(0)} pieces/s, ${promptKb.toFixed(0)} KB/s of prompts`,
+      derivation: `${traffic}, ${chunksPerSecond.toFixed(0)} pieces/s, ${promptKb.toFixed(0)} KB/s of prompts`,
       value:
         readSlope('core_percent_by_calls_s') * requestsPerSecond +
-        readSlope('core_percent_by_pieces_s') * piecesPerSecond +
+        readSlope('core_percent_by_pieces_s') * chunksPerSecond +
         readSlope('core_percent_by_prompt_kb_s') * promptKb,
       unit: '% of a core',
     },
   ];
 }
 
-/** Time in which a change must be in force everywhere (letter 1), in ms. */
+/**
+ * Time within which users require a change to be in force everywhere, in ms.
+ */
 const PROPAGATION_LIMIT_MS = 8000;
 
-/** Reads a second that the service answers, across all readers (brief). */
+/** Reads per second that the configuration service answers for all readers. */
 const CONFIG_READS_PER_SECOND = 2000;
 
 function listConfigFigures(slopes: SlopeTable): readonly FigureRow[] {
@@ -265,9 +269,10 @@
 }
 
 /**
- * Reads `measured.json` in `dir` and writes `figures.md` beside it.
+ * Reads `measured.json` in `dir` and writes the estimates to `figures.md` in
+ * the same directory.
  *
- * @returns The table as written.
+ * @returns Content of `figures.md`.
  * @example
  * writeCapacity('docs/capacity');
  */
@@ -281,23 +286,23 @@
   );
   const {drainMs, freezeMs, killMs} = measurement.leaving;
   const text = [
-    "# Figures at letter 1's size",
+    '# Capacity figures at the design size',
     '',
     `Written by \`nutmeggauge capacity docs/capacity\` from \`measured.json\` (${measurement.measuredAt}); do not edit.`,
     '',
-    '| role | figure | worked out from | value | budget | within |',
+    '| role | figure | derived from | value | budget | within budget |',
     '| --- | --- | --- | --- | --- | --- |',
     ...listFigures(measurement).map(formatRow),
     '',
     '## Measured slopes',
     '',
-    '| slope | by | a unit more | at none | R² | unit |',
+    '| slope | variable | per unit | at zero | R² | unit |',
     '| --- | --- | --- | --- | --- | --- |',
     ...slopes,
     '',
-    '## Until a gate stops sending to a target',
+    '## Time until a gate stops routing to a target',
     '',
-    `Its agent drains: ${drainMs.toFixed(0)} ms. It is killed: ${killMs.toFixed(0)} ms. It freezes (heartbeats of 1 s): ${freezeMs.toFixed(0)} ms.`,
+    `After its agent starts to drain: ${drainMs.toFixed(0)} ms. After its agent is killed: ${killMs.toFixed(0)} ms. After its agent freezes (heartbeat interval of 1 s): ${freezeMs.toFixed(0)} ms.`,
     '',
   ].join('\n');
   writeFileSync(join(dir, 'figures.md'), text);
--- a/packages/nutmeggauge/src/measure/config-measures.ts
+++ b/packages/nutmeggauge/src/measure/config-measures.ts
@@ -1,7 +1,7 @@
 /**
- * Figures of the configuration watch: how soon a change is in force at every
- * reader, how many reads that costs the service, and how many bytes a change
- * costs a reader.
+ * Measures the configuration watch: the time until a change is in force at
+ * every reader, the read rate at the configuration service, and the bytes that
+ * a reader downloads per change.
  */
 import {request} from 'undici';
 import {createConfigWatcher, createCounters, waitMs} from '@nutmeggauge/core';
@@ -18,7 +18,10 @@
 const WATCH_MS = 25_000;
 const IDLE_MS = 10_000;
 
-/** Milliseconds from a change's publication until every reader holds it. */
+/**
+ * Measures the time from publishing a change until every reader has it, and the
+ * read rate without changes, by number of readers.
+ */
 async function measurePropagation(): Promise<Slope[]> {
   const propagationMs: Array<[number, number]> = [];
   const reads: Array<[number, number]> = [];
@@ -49,7 +52,8 @@
     const before = standIns.config.calls();
     await waitMs(IDLE_MS);
     const idle = (standIns.config.calls() - before) / (IDLE_MS / 1000);
-    // Within the pause some watches may not come round; the bound is exact.
+    // Watches may last longer than the idle interval, so that the counted reads
+    // are too few; readers / WATCH_MS is the exact lower bound.
     reads.push([readers, Math.max(idle, readers / (WATCH_MS / 1000))]);
     for (const watcher of watchers) watcher.stop();
     await standIns.close();
@@ -75,7 +79,7 @@
   return (await response.body.text()).length;
 }
 
-/** Bytes of a whole record, and of the change of one account. */
+/** Measures the size of a full record and of the delta for one new account. */
 async function measureRecordSizes(): Promise<Slope[]> {
   const fullBytes: Array<[number, number]> = [];
   const deltaBytes: Array<[number, number]> = [];
@@ -121,7 +125,7 @@
   ];
 }
 
-/** Measures every figure of the configuration watch. */
+/** Measures every slope of the configuration watch. */
 export async function measureConfig(): Promise<readonly Slope[]> {
   return [...(await measurePropagation()), ...(await measureRecordSizes())];
 }
--- a/packages/nutmeggauge/src/measure/fit.ts
+++ b/packages/nutmeggauge/src/measure/fit.ts
@@ -1,6 +1,6 @@
 /**
- * Straight lines through measured points: what one more account, link or
- * request costs, and where that leads at the size to design for.
+ * Fits lines to measured points. The slope is the cost of one more account,
+ * link or request; the line extrapolates to the design size.
  */
 import {linearRegression, rSquared} from 'simple-statistics';
 
@@ -8,7 +8,7 @@
 export interface Slope {
   /** Name of the figure, such as `gate.rss_mb_by_accounts`. */
   readonly name: string;
-  /** What was varied. */
+  /** Quantity that the measurement varies. */
   readonly xName: string;
   /** Unit of the figure. */
   readonly yName: string;
@@ -20,7 +20,7 @@
 }
 
 /**
- * Fits a line by least squares.
+ * Fits a line to `points` by least squares.
  *
  * @example
  * fitSlope('gate.rss_mb_by_accounts', 'client accounts', 'MB', [[100, 60], [1000, 63]]).slope;
@@ -41,7 +41,7 @@
     points,
     slope: m,
     intercept: b,
-    // A figure that does not vary has no variance to explain: the line is exact.
+    // R² is NaN if all values are equal; the line is exact then.
     rSquared: Number.isNaN(fit) ? 1 : fit,
   };
 }
--- a/packages/nutmeggauge/src/measure/fixtures.ts
+++ b/packages/nutmeggauge/src/measure/fixtures.ts
@@ -1,6 +1,6 @@
 /**
- * Small stand-ins for measurements: records of any size, agents without a
- * process of their own, and gate links without a gate.
+ * Test doubles for measurements: configuration records of any size, agents
+ * inside this process, and gate links without a gate.
  */
 import {AgentSettingsSchema, createAgent} from '@nutmeggauge/agent';
 import {
@@ -24,7 +24,7 @@
 export const HOST = '127.0.0.1';
 export const MEASURE_KEY = 'measure-key-0000';
 
-/** A target as a record lists it. */
+/** A target as a configuration record lists it. */
 export interface RecordTarget {
   readonly id: string;
   readonly agent: string;
@@ -32,8 +32,8 @@
 }
 
 /**
- * Builds a record of `accounts` client accounts, a plain pool `orders` and a
- * pool `chat` of engines.
+ * Builds a configuration record with `accounts` client accounts, a pool
+ * `orders` of plain services and a pool `chat` of engines.
  *
  * @example
  * buildRecord(3700, targets);
@@ -61,7 +61,7 @@
 }
 
 /**
- * Builds `count` targets that nobody listens at.
+ * Builds `count` targets whose agent address accepts no connections.
  *
  * @example
  * buildFarTargets(1500).length;
@@ -74,7 +74,9 @@
   }));
 }
 
-/** A configuration service and a plain service in this process. */
+/**
+ * Configuration service, plain service and engine stand-ins in this process.
+ */
 export interface LocalStandIns {
   readonly config: ConfigServiceStandIn;
   readonly configUrl: string;
@@ -84,7 +86,10 @@
   close(): Promise<void>;
 }
 
-/** An engine that costs the measured process little but the pieces themselves. */
+/**
+ * Settings of an engine stand-in with negligible prefill time, so that the
+ * measured process spends its time on streamed chunks.
+ */
 const FAST_ENGINE = {
   id: 'engine-m',
   prefillTokensPerSecond: 1e9,
@@ -92,7 +97,7 @@
   decodeStepMs: 5,
 };
 
-/** Starts the platform's stand-ins in this process. */
+/** Starts the stand-ins on free ports in this process. */
 export async function startLocalStandIns(): Promise<LocalStandIns> {
   const config = await startConfigServiceStandIn(HOST, 0);
   const plain = await startPlainServiceStandIn(HOST, 0, 1);
@@ -109,7 +114,9 @@
   };
 }
 
-/** Starts `count` agents in this process, all before one target. */
+/**
+ * Starts `count` agents in this process, all in front of the target at `url`.
+ */
 export async function startAgents(
   count: number,
   url: string,
@@ -144,7 +151,7 @@
   };
 }
 
-/** Links to an agent as gates open them, with their counters. */
+/** Opens `count` links to an agent as gates do, with shared counters. */
 export async function openGateLinks(
   count: number,
   port: number,
@@ -174,8 +181,9 @@
 }
 
 /**
- * Sums the bytes of control messages, both ways: everything on the links but
- * requests, their receipts, chunks, cancels and answers.
+ * Sums the bytes of control messages in both directions: load reports, records
+ * and record versions, but not requests, acks, chunks, cancellations and
+ * answers.
  *
  * @example
  * sumControlBytes({'rpc.in.load.bytes': 120}); // 120
--- a/packages/nutmeggauge/src/measure/gate-measures.ts
+++ b/packages/nutmeggauge/src/measure/gate-measures.ts
@@ -1,6 +1,6 @@
 /**
- * Slopes of the gate: memory by accounts and targets, and memory, processor
- * time and control bytes by links to agents, by requests and by streamed text.
+ * Measures cost slopes of the gate: memory per account and target, and memory,
+ * CPU time and control bytes per agent link, request and streamed chunk.
  */
 import {request} from 'undici';
 import {waitMs} from '@nutmeggauge/core';
@@ -34,12 +34,13 @@
 const ACCOUNT_COUNTS = [100, 1000, 3700, 7400];
 const TARGET_COUNTS = [1, 500, 1500, 3000];
 const LINK_COUNTS = [1, 25, 100, 200];
-/** Links and calls a second as at the size to design for. */
+/** Number of links of one gate at the design size. */
 const SPARSE_LINKS = 100;
+/** Call rates around that of one gate at the design size, in calls/s. */
 const SPARSE_RATES = [1, 2, 4, 8];
 const CALL_RATES = [5, 20, 80, 160];
 
-/** Starts a gate process on `platform`, with its administration API. */
+/** Starts a gate process with an admin API, configured by `standIns`. */
 export async function startGate(
   runDir: string,
   standIns: LocalStandIns,
@@ -56,7 +57,7 @@
   });
 }
 
-/** Starts a gate with a link to each of `count` agents in this process. */
+/** Starts a gate process linked to `count` agents inside this process. */
 async function startLinkedGate(
   runDir: string,
   count: number,
@@ -86,7 +87,7 @@
   };
 }
 
-/** Memory and the time to take a record in, by number of client accounts. */
+/** Measures memory and the CPU time to apply a record, by client accounts. */
 async function measureAccounts(runDir: string): Promise<Slope[]> {
   const rss: Array<[number, number]> = [];
   const cpu: Array<[number, number]> = [];
@@ -110,7 +111,7 @@
   ];
 }
 
-/** Memory by targets that the record lists but the gate keeps no link to. */
+/** Measures memory by number of targets that a gate knows but has no link to. */
 async function measureTargets(runDir: string): Promise<Slope[]> {
   const rss: Array<[number, number]> = [];
   for (const targets of TARGET_COUNTS) {
@@ -144,7 +145,7 @@
   await response.body.dump();
 }
 
-/** Runs `fit` on a gate with `links` links that is sent calls. */
+/** Runs `fit` on a gate that receives calls and has `links` agent links. */
 async function measureCalls(
   runDir: string,
   links: number,
--- a/packages/nutmeggauge/src/measure/leaving-measures.ts
+++ b/packages/nutmeggauge/src/measure/leaving-measures.ts
@@ -1,6 +1,6 @@
 /**
- * How soon a gate stops routing to a target that drains, freezes or is
- * killed.
+ * Measures how long a gate keeps routing to a target whose agent drains,
+ * freezes or is killed.
  */
 import {findFreePorts} from '../cluster/ports.js';
 import {HOST, buildRecord, startLocalStandIns} from './fixtures.js';
@@ -9,15 +9,15 @@
 
 /** Times until a gate stops routing to a target, in ms. */
 export interface RemovalLatencies {
-  /** After its agent began to drain. */
+  /** Time after the target's agent starts to drain. */
   readonly drainMs: number;
-  /** After its agent was paused (SIGSTOP). */
+  /** Time after the target's agent is paused (SIGSTOP). */
   readonly freezeMs: number;
-  /** After its agent was killed (SIGKILL). */
+  /** Time after the target's agent is killed (SIGKILL). */
   readonly killMs: number;
 }
 
-/** Measures how soon a gate stops routing to a target that goes. */
+/** Measures the times until a gate stops routing to a target. */
 export async function measureRemovalLatencies(
   runDir: string,
 ): Promise<RemovalLatencies> {
--- a/packages/nutmeggauge/src/measure/measure.ts
+++ b/packages/nutmeggauge/src/measure/measure.ts
@@ -1,7 +1,8 @@
 /**
  * `nutmeggauge measure`: measures the slopes behind docs/CAPACITY.md on this
- * machine and writes them as JSON and as plots. It keeps to one gate or
- * agent process at a time, and some 2,000 watchers in its own.
+ * machine and writes them as JSON and as charts. Slopes are measured on one
+ * gate or agent process at a time, and with up to about 2,000 configuration
+ * watchers in this process.
  */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
@@ -13,7 +14,7 @@
 import type {Slope} from './fit.js';
 import type {RemovalLatencies} from './leaving-measures.js';
 
-/** Everything that one run measured. */
+/** Results of one measurement, as stored in `measured.json`. */
 export interface Measurement {
   readonly measuredAt: string;
   readonly slopes: readonly Slope[];
@@ -22,9 +23,9 @@
 
 /** Options of a measurement. */
 export interface MeasureOptions {
-  /** Folder that the JSON and the plots are written into. */
+  /** Directory for the JSON file and the charts. */
   readonly outDir: string;
-  /** Folder for settings and logs of the measured processes. */
+  /** Directory for settings and logs of the measured processes. */
   readonly runDir: string;
 }
 
@@ -37,7 +38,7 @@
 }
 
 /**
- * Measures and writes everything; takes some three minutes.
+ * Runs all measurements and writes their results; takes about three minutes.
  *
  * @example
  * await runMeasure({outDir: 'docs/capacity', runDir: 'runs/measure'});
@@ -59,7 +60,7 @@
     for (const slope of measured) print(`  ${formatSlope(slope)}`);
     slopes.push(...measured);
   }
-  print('measuring: leaving targets');
+  print('measuring: time until a gate stops routing to a target');
   const leaving = await measureRemovalLatencies(options.runDir);
   print(`  ${JSON.stringify(leaving)}`);
   const measurement = {measuredAt: new Date().toISOString(), slopes, leaving};
--- a/packages/nutmeggauge/src/measure/measured-process.ts
+++ b/packages/nutmeggauge/src/measure/measured-process.ts
@@ -1,6 +1,6 @@
 /**
- * One process under measurement: its settings, its processor time and
- * memory, and, for a gate, its counters.
+ * Starts gate or agent processes for measurements and reads their CPU time and
+ * memory, and for gates their admin API.
  */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
@@ -20,7 +20,7 @@
 
 const BYTES_PER_MB = 1024 * 1024;
 
-/** Processor time used so far, in ms, and resident memory, in MB. */
+/** CPU time since the start of a process, in ms, and resident memory, in MB. */
 export interface Usage {
   readonly cpuMs: number;
   readonly rssMb: number;
@@ -45,7 +45,7 @@
     return {cpuMs: ctime, rssMb: memory / BYTES_PER_MB};
   }
 
-  /** Mean share of one core, in %, over the next `ms`. */
+  /** Measures the mean CPU usage over the next `ms`, in % of one core. */
   async measureCoreShare(ms: number): Promise<number> {
     const before = await this.readUsage();
     await waitMs(ms);
@@ -53,7 +53,7 @@
     return ((after.cpuMs - before.cpuMs) / ms) * 100;
   }
 
-  /** Counters of a gate, by name. */
+  /** Returns the counters of a gate, by name. */
   async readCounters(): Promise<Readonly<Record<string, number>>> {
     const body = await this.readAdmin<{counters: Record<string, number>}>(
       'counters',
@@ -61,7 +61,7 @@
     return body.counters;
   }
 
-  /** Targets that a gate keeps links to. */
+  /** Returns the targets that a gate keeps links to. */
   async listTargets(): Promise<
     ReadonlyArray<{readonly id: string; readonly usable: boolean}>
   > {
@@ -71,7 +71,7 @@
     return body.targets;
   }
 
-  /** Version of the record that a gate holds. */
+  /** Returns the version of the configuration record that a gate uses. */
   async readVersion(): Promise<number> {
     const body = await this.readAdmin<{record: {version: number}}>('status');
     return body.record.version;
@@ -97,7 +97,7 @@
 let nextProcessNumber = 1;
 
 /**
- * Starts a gate or an agent with `settings`, whose `listen.port` is its port.
+ * Starts a gate or an agent process with `settings`.
  *
  * @example
  * await startProbe('agent', 'runs/measure', {id: 'a', listen: {port: 7101}, ...});
@@ -128,7 +128,8 @@
 }
 
 /**
- * Polls `check` every `everyMs` and resolves with the time it took to hold.
+ * Polls `check` and returns the time until it first returned true, in ms, or
+ * NaN after `limitMs`.
  *
  * @example
  * const ms = await measureUntil(() => gate.isReady());
--- a/packages/nutmeggauge/src/measure/role-slopes.ts
+++ b/packages/nutmeggauge/src/measure/role-slopes.ts
@@ -1,30 +1,30 @@
 /**
- * Slopes that gates and agents have alike: by links, by requests and by
- * streamed text. A role says how to load one of its processes; the names and
- * the points are the same for both.
+ * Fits the slopes that gates and agents share: cost by links, by requests, and
+ * by streamed chunks and prompt text. The caller provides a function that
+ * measures one process of its role under a given load.
  */
 import {waitMs} from '@nutmeggauge/core';
 import {fitSlope} from './fit.js';
 import type {Slope} from './fit.js';
 import type {MeasuredProcess} from './measured-process.js';
 
-/** Role whose process is measured. */
+/** Role of the measured process. */
 export type MeasuredRole = 'gate' | 'agent';
 
-/** Time that a process rests before it is measured, in ms. */
+/** Idle time before a measurement, in ms. */
 export const SETTLE_MS = 2000;
 
-/** Time that a process is measured for, idle or under load, in ms. */
+/** Duration of one measurement, idle or under load, in ms. */
 export const MEASURE_MS = 6000;
 
-/** Tokens of each streamed answer. */
+/** Number of tokens of each streamed answer. */
 export const STREAM_TOKENS = 100;
 
 type Points = Array<[number, number]>;
 
-/** Processor time and control bytes over one measured stretch. */
+/** CPU time and control bytes over one measured interval. */
 export interface IntervalUsage {
-  /** Mean share of a core, in %. */
+  /** Mean CPU usage, in % of a core. */
   readonly corePercent: number;
   readonly bytesPerSecond: number;
 }
@@ -32,7 +32,7 @@
 /**
  * Measures a process for `MEASURE_MS` while `load` runs.
  *
- * @param readBytes - Control bytes so far.
+ * @param readBytes - Returns the number of control bytes so far.
  * @example
  * await measureStretch(gate, readBytes, sendCalls);
  */
@@ -52,7 +52,7 @@
 }
 
 /**
- * Runs `send` at a steady rate for `MEASURE_MS` and waits for every answer.
+ * Calls `send` at a constant rate for `MEASURE_MS` and waits for all answers.
  *
  * @example
  * await sendAtRate(20, i => call(i));
@@ -70,7 +70,7 @@
   );
 }
 
-/** Memory, idle processor time and idle control bytes by links. */
+/** Fits memory, idle CPU time and idle control bytes by number of links. */
 export async function fitLinks(
   role: MeasuredRole,
   counts: readonly number[],
@@ -99,7 +99,7 @@
   ];
 }
 
-/** Processor time by plain calls a second. */
+/** Fits CPU time by plain calls per second. */
 export async function fitCalls(
   role: MeasuredRole,
   rates: readonly number[],
@@ -113,9 +113,9 @@
 }
 
 /**
- * Control bytes by plain calls a second that are spread over as many links
- * as at the size to design for: few links are in use at a time there, so a
- * few busy links would show another cost.
+ * Fits control bytes by plain calls per second, spread over as many links as at
+ * the design size. At that size only few links are in use at a time; calls over
+ * a few busy links would have a different cost.
  */
 export async function fitSparseCalls(
   role: MeasuredRole,
@@ -135,22 +135,24 @@
   );
 }
 
-/** Requests a second, and prompt lengths in KB at two requests a second. */
+/** Rates at which streamed chunks are measured, in requests per second. */
 const STREAM_RATES = [1, 5, 15, 30];
+/** Prompt lengths at which the cost of prompt text is measured, in KB. */
 const PROMPT_KB = [1, 100, 400, 1000];
+/** Request rate while the prompt length varies, in requests per second. */
 const PROMPT_RATE = 2;
 const SHORT_PROMPT_CHARS = 400;
 
-/** Processor time by streamed pieces a second, and by prompt text a second. */
+/** Fits CPU time by streamed chunks per second and by prompt KB per second. */
 export async function fitStreams(
   role: MeasuredRole,
   measureAt: (ratePerSecond: number, prompt: string) => Promise<IntervalUsage>,
 ): Promise<Slope[]> {
-  const byPieces: Points = [];
+  const byChunks: Points = [];
   for (const rate of STREAM_RATES) {
     const prompt = 'p'.repeat(SHORT_PROMPT_CHARS);
     const {corePercent} = await measureAt(rate, prompt);
-    byPieces.push([rate * STREAM_TOKENS, corePercent]);
+    byChunks.push([rate * STREAM_TOKENS, corePercent]);
   }
   const byPrompt: Points = [];
   for (const kb of PROMPT_KB) {
@@ -162,7 +164,7 @@
       `${role}.core_percent_by_pieces_s`,
       'streamed pieces a second',
       '% of a core',
-      byPieces,
+      byChunks,
     ),
     fitSlope(
       `${role}.core_percent_by_prompt_kb_s`,
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,4 +1,5 @@
-// Bundles the platform's program into one file under target/ and compiles it.
+// Bundles the gate program of platform/ into one file under target/ and writes
+// its V8 code cache.
 import {execFileSync} from 'node:child_process';
 import {readFileSync, rmSync} from 'node:fs';
 import {build} from 'esbuild';
@@ -7,9 +8,10 @@
 const PROGRAM = 'target/nutmeggauge-gate.cjs';
 
 /**
- * Parts of hdr-histogram-js that a gate does not use: reading and writing of
- * histogram logs, their compression and the WebAssembly variant. Loading them
- * opens the locale data of Intl, an eighth of a start.
+ * Modules of hdr-histogram-js that a gate does not use: reading, writing and
+ * compressing histogram logs, and the WebAssembly variant. The bundle omits
+ * them because loading them loads the locale data of Intl, which takes an
+ * eighth of the gate's startup time.
  */
 const UNUSED_HISTOGRAM_PARTS =
   /^\.\/(encoding|HistogramLogReader|HistogramLogWriter|Recorder|wasm)$/;
@@ -26,7 +28,7 @@
   },
 };
 
-/** Flags of Node in the deploy file: those between `node` and the program. */
+/** Returns the Node flags of the gate's command in deploy/system.toml. */
 function readNodeFlags() {
   const deploy = parse(readFileSync('deploy/system.toml', 'utf8'));
   const [, ...words] = deploy.roles.gate.run.split(' ');
@@ -46,13 +48,14 @@
   format: 'cjs',
   minifyWhitespace: true,
   minifySyntax: true,
-  // Packages inside the workspace are bundled from their sources.
+  // Bundles workspace packages from their TypeScript sources.
   alias: {
     '@nutmeggauge/core': './packages/core/src/index.ts',
     '@nutmeggauge/direct': './packages/direct/src/index.ts',
   },
   plugins: [leaveOutUnusedParts],
-  // Only meow reads it, to find a package.json that the bundle does not need.
+  // Only meow reads import.meta, to find a package.json that the bundle does
+  // not need; CommonJS output has no import.meta.
   define: {'import.meta': '{"url":"file:///nutmeggauge-gate"}'},
   logLevel: 'warning',
 });
--- a/scripts/check-known-red.mjs
+++ b/scripts/check-known-red.mjs
@@ -1,17 +1,18 @@
 /**
- * Tells whether every failure of a test run is listed in KNOWN-RED.txt, and
- * prints the entries that it passes over. An entry of a test begins with its
- * file, a colon and its name: `packages/a/dist/b.test.js: name of the test;`.
+ * Checks that every failed test of a run is listed in KNOWN-RED.txt, and prints
+ * each failure with its entry. Exits 0 only if there are failures and all are
+ * listed. An entry begins with the test's file and name:
+ * `packages/a/dist/b.test.js: name of the test;`.
  *
  * Usage: node scripts/check-known-red.mjs <report of node --test> <list>
  */
 import {readFileSync} from 'node:fs';
 import {relative} from 'node:path';
 
-/** Type of a failure that only says that a test inside has failed. */
+/** Failure type of a test that failed only because a subtest failed. */
 const PARENT_FAILURE = 'subtestsFailed';
 
-/** Finds the failed tests in TAP output, as `file: name`. */
+/** Returns the failed tests in TAP output, each as `file: name`. */
 function listFailures(report) {
   const failures = [];
   let name;
--- a/scripts/check-verbs.mjs
+++ b/scripts/check-verbs.mjs
@@ -1,10 +1,10 @@
 // Checks that every function and method name begins with a verb listed in
-// docs/VERBS.md (house style). Prints each name that does not, and exits 1.
+// docs/VERBS.md. Prints each violating name and exits 1 if there are any.
 import {readFileSync, readdirSync} from 'node:fs';
 import {join} from 'node:path';
 import ts from 'typescript';
 
-/** First words that need no verb: lifecycle hooks of Node and of libraries. */
+/** Names that need no verb: constructors and `on…` event hooks. */
 const EXEMPT = /^(constructor|on[A-Z])/;
 
 const verbs = new Set(
@@ -30,7 +30,7 @@
 function findName(node) {
   if (ts.isFunctionDeclaration(node) || ts.isMethodDeclaration(node))
     return node.name;
-  // Arrow functions count when the whole module sees them.
+  // Checks arrow functions only if they are top-level constants of a module.
   const isArrow =
     ts.isVariableDeclaration(node) &&
     node.parent.parent.parent.kind === ts.SyntaxKind.SourceFile &&
@@ -62,6 +62,8 @@
   visit(source);
 }
 if (failures > 0) {
-  console.error(`${failures} names do not begin with a verb of docs/VERBS.md`);
+  console.error(
+    `${failures} names do not begin with a verb listed in docs/VERBS.md`,
+  );
   process.exit(1);
 }
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The README's demo command: installs and builds on a fresh machine, then
-# runs the whole deployment on loopback with the embedded default workload.
+# Demo command of the README: installs npm packages if they are missing, builds
+# all packages, and runs the whole deployment on loopback with the built-in
+# default workload.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 [ -d node_modules ] || npm ci
--- a/scripts/write-code-cache.cjs
+++ b/scripts/write-code-cache.cjs
@@ -1,6 +1,6 @@
-// Runs a bundled gate for a moment and writes the code that V8 compiled for
-// it. Called by bundle.mjs with the flags of the deploy file, since V8 takes
-// a cache only under the flags that it was made with.
+// Runs a bundled gate briefly and writes the V8 code cache of its compiled
+// code. bundle.mjs calls this script with the Node flags of the deploy file,
+// because V8 accepts a cache only under the flags that it was created with.
 //
 //   node [flags] scripts/write-code-cache.cjs target/nutmeggauge-gate.cjs
 'use strict';
@@ -11,12 +11,13 @@
 const {getCachePath, runProgram} = require('../deploy/start-cached.cjs');
 
 /**
- * Time for the gate to start, in ms: three times what a start takes on a busy
- * machine. Code that is compiled later is only missing from the cache.
+ * Time that the gate runs before the cache is written, in ms: three times the
+ * startup time on a busy machine. Code that V8 compiles later is missing from
+ * the cache but still works.
  */
 const WARM_UP_MS = 1500;
 
-/** Loopback, free ports, and a store that does not answer. */
+/** Gate settings: loopback, free ports, and a store that is not reachable. */
 const SETTINGS = `
 node = "warm-up"
 ip = "127.0.0.1"
