--- a/packages/nutmeggauge/src/measure/fixtures.ts
+++ b/packages/nutmeggauge/src/measure/fixtures.ts
@@ -64,7 +64,7 @@
  * Builds `count` targets whose agent address accepts no connections.
  *
  * @example
- * buildFarTargets(1500).length;
+ * buildUnreachableTargets(1500).length;
  */
 export function buildUnreachableTargets(count: number): RecordTarget[] {
   return Array.from({length: count}, (_, i) => ({
--- a/packages/nutmeggauge/src/measure/measured-process.ts
+++ b/packages/nutmeggauge/src/measure/measured-process.ts
@@ -30,8 +30,8 @@
  * A gate or agent process under measurement.
  *
  * @example
- * const probe = await startProbe('gate', 'runs/measure', settings);
- * const share = await probe.measureCoreShare(5000);
+ * const gate = await startMeasuredProcess('gate', 'runs/measure', settings);
+ * const corePercent = await gate.measureCoreShare(5000);
  */
 export class MeasuredProcess {
   constructor(
@@ -97,10 +97,11 @@
 let nextProcessNumber = 1;
 
 /**
- * Starts a gate or an agent process with `settings`.
+ * Starts a gate or agent process with `settings`, whose `listen.port` becomes
+ * the `port` of the result.
  *
  * @example
- * await startProbe('agent', 'runs/measure', {id: 'a', listen: {port: 7101}, ...});
+ * await startMeasuredProcess('agent', 'runs/measure', {id: 'a', listen: {port: 7101}, ...});
  */
 export async function startMeasuredProcess(
   role: keyof typeof BINARIES,
--- a/packages/nutmeggauge/src/measure/role-slopes.ts
+++ b/packages/nutmeggauge/src/measure/role-slopes.ts
@@ -34,7 +34,7 @@
  *
  * @param readBytes - Returns the number of control bytes so far.
  * @example
- * await measureStretch(gate, readBytes, sendCalls);
+ * await measureInterval(gate, readBytes, sendCalls);
  */
 export async function measureInterval(
   measuredProcess: MeasuredProcess,
