--- a/packages/nutmeggauge/src/load/client.ts
+++ b/packages/nutmeggauge/src/load/client.ts
@@ -11,8 +11,8 @@
  * Outcome of a request as its caller observes it.
  *
  * - `answered`: the complete answer arrived.
- * - `refused`: the gate reported that the request was not executed, with a
- *   delay after which to retry.
+ * - `refused`: the gate reported that the request was not executed, usually
+ *   with a delay after which to retry.
  * - `unknown`: the gate reported that the request may have been executed.
  * - `broken`: neither a complete answer nor an error report arrived.
  */
--- a/packages/nutmeggauge/src/measure/agent-measures.ts
+++ b/packages/nutmeggauge/src/measure/agent-measures.ts
@@ -37,7 +37,7 @@
 const LEDGER_SIZES = [0, 5000, 15_000, 30_000];
 /** Number of concurrent calls while the ledger is filled with keys. */
 const LEDGER_BATCH = 40;
-const CALL_WINDOW_MS = 60_000;
+const CALL_TIMEOUT_MS = 60_000;
 
 /**
  * Starts an agent process in front of a stand-in and opens `links` gate links
@@ -84,7 +84,7 @@
     kind: 'call',
     op: 'read-stock',
     args: {},
-    deadlineAt: Date.now() + CALL_WINDOW_MS,
+    deadlineAt: Date.now() + CALL_TIMEOUT_MS,
     notRepeatable: false,
     keyed: false,
     recordVersion: 0,
--- a/packages/nutmeggauge/src/measure/capacity.ts
+++ b/packages/nutmeggauge/src/measure/capacity.ts
@@ -227,8 +227,12 @@
 
 function listConfigFigures(slopes: SlopeTable): readonly FigureRow[] {
   const readers = DESIGN_SIZE.gates + DESIGN_SIZE.targets;
-  const perChange = (DESIGN_SIZE.changesPerDay * readers) / SECONDS_PER_DAY;
-  const idle = slopes.estimateAt('config.reads_s_by_readers', readers);
+  const changeReadsPerSecond =
+    (DESIGN_SIZE.changesPerDay * readers) / SECONDS_PER_DAY;
+  const idleReadsPerSecond = slopes.estimateAt(
+    'config.reads_s_by_readers',
+    readers,
+  );
   return [
     {
       role: 'configuration',
@@ -241,8 +245,8 @@
     {
       role: 'configuration',
       figure: 'reads of the service',
-      derivation: `${readers} watches of 25 s (${idle.toFixed(0)}) + ${DESIGN_SIZE.changesPerDay} changes a day (${perChange.toFixed(1)})`,
-      value: idle + perChange,
+      derivation: `${readers} watches of 25 s (${idleReadsPerSecond.toFixed(0)}) + ${DESIGN_SIZE.changesPerDay} changes a day (${changeReadsPerSecond.toFixed(1)})`,
+      value: idleReadsPerSecond + changeReadsPerSecond,
       unit: 'reads/s',
       budget: CONFIG_READS_PER_SECOND,
     },
--- a/packages/nutmeggauge/src/measure/config-measures.ts
+++ b/packages/nutmeggauge/src/measure/config-measures.ts
@@ -51,10 +51,14 @@
     propagationMs.push([readers, Math.max(...durationsMs)]);
     const before = standIns.config.calls();
     await waitMs(IDLE_MS);
-    const idle = (standIns.config.calls() - before) / (IDLE_MS / 1000);
+    const idleReadsPerSecond =
+      (standIns.config.calls() - before) / (IDLE_MS / 1000);
     // Watches may last longer than the idle interval, so that the counted reads
     // are too few; readers / WATCH_MS is the exact lower bound.
-    reads.push([readers, Math.max(idle, readers / (WATCH_MS / 1000))]);
+    reads.push([
+      readers,
+      Math.max(idleReadsPerSecond, readers / (WATCH_MS / 1000)),
+    ]);
     for (const watcher of watchers) watcher.stop();
     await standIns.close();
   }
--- a/packages/nutmeggauge/src/measure/fixtures.ts
+++ b/packages/nutmeggauge/src/measure/fixtures.ts
@@ -22,7 +22,7 @@
 } from '@nutmeggauge/standins';
 
 export const HOST = '127.0.0.1';
-export const MEASURE_KEY = 'measure-key-0000';
+export const MEASURE_API_KEY = 'measure-key-0000';
 
 /** A target as a configuration record lists it. */
 export interface RecordTarget {
--- a/packages/nutmeggauge/src/measure/gate-measures.ts
+++ b/packages/nutmeggauge/src/measure/gate-measures.ts
@@ -8,7 +8,7 @@
 import {fitSlope} from './fit.js';
 import {
   HOST,
-  MEASURE_KEY,
+  MEASURE_API_KEY,
   buildUnreachableTargets,
   buildRecord,
   startAgents,
@@ -139,7 +139,7 @@
 async function post(port: number, path: string, body: string): Promise<void> {
   const response = await request(`http://${HOST}:${port}${path}`, {
     method: 'POST',
-    headers: {authorization: `Bearer ${MEASURE_KEY}`},
+    headers: {authorization: `Bearer ${MEASURE_API_KEY}`},
     body,
   });
   await response.body.dump();
