--- a/packages/nutmeggauge/src/load/summary.ts
+++ b/packages/nutmeggauge/src/load/summary.ts
@@ -1,7 +1,7 @@
 /**
- * Turns caller results into the figures the users measure: answered,
- * refused, unknown, lost, doubled, false "not run", TTFT by prompt length,
- * and the pauses between tokens.
+ * Summarizes caller results and target executions: outcome counts (answered,
+ * refused, unknown, lost), duplicate executions, false "not run" answers, time
+ * to first token by prompt length, and inter-token latency.
  */
 import {createLatencyHistogram} from '@nutmeggauge/core';
 import {LENGTH_BUCKETS, resolveBucket} from './workload.js';
@@ -10,37 +10,39 @@
 import type {ExecutionRecord} from './executions.js';
 import type {PlannedRequest} from './workload.js';
 
-/** Figures of one run. */
+/** Summary of one run. */
 export interface RunSummary {
   readonly sent: number;
   readonly answered: number;
   readonly refused: number;
   readonly refusedByReason: Readonly<Record<string, number>>;
   readonly unknown: number;
-  /** Requests with neither a whole answer nor an honest final word. */
+  /** Requests that got neither a complete answer nor an error report. */
   readonly lost: number;
-  /** How each of them showed to its caller. */
+  /** Description of each lost request as its caller observed it. */
   readonly losses: readonly string[];
-  /** Not-repeatable keys that ran more than once. */
+  /** Idempotency keys that targets executed more than once. */
   readonly doubled: number;
-  /** Requests whose caller heard "not run" although a target ran them. */
+  /**
+   * Requests that a gate reported as not executed although a target ran them.
+   */
   readonly falseNotRun: number;
-  /** Order calls whose repeat got a different slip than the first. */
+  /** Orders whose repeated sends returned different slip numbers. */
   readonly repeatMismatches: number;
   readonly ttftByBucket: Readonly<Record<string, LatencySummary>>;
-  /** TTFT of prompts of the short lane, all buckets together. */
+  /** TTFT of prompts of up to 32k tokens, which run in the short lane. */
   readonly shortTtft: LatencySummary;
-  /** Pauses between tokens. */
+  /** Inter-token latency of streamed answers. */
   readonly gaps: LatencySummary;
 }
 
-/** Buckets of prompts that run in the short lane. */
+/** Prompt-length buckets that run in the short lane. */
 const SHORT_BUCKETS: ReadonlySet<string> = new Set(['1k-8k', '8k-32k']);
 
 /**
- * Summarises one run.
+ * Summarizes one run.
  *
- * @param executions - Everything that targets ran, from their logs.
+ * @param executions - Executions of all targets, read from their logs.
  * @example
  * const summary = summarizeRun(plan, results, readExecutions(runDir));
  */
@@ -56,20 +58,20 @@
     sent: results.length,
     answered: count('answered'),
     refused: count('refused'),
-    refusedByReason: countReasons(results),
+    refusedByReason: countRefusalReasons(results),
     unknown: count('unknown'),
     lost: count('broken') + (plan.length - results.length),
     losses: results
       .filter(({verdict}) => verdict === 'broken')
       .map(({kind, index, brokenBy}) => `${kind} ${index}: ${brokenBy}`),
-    doubled: countDoubled(executions),
+    doubled: countDuplicates(executions),
     falseNotRun: countFalseNotRun(results, executions),
-    repeatMismatches: countMismatches(byIndex, results),
-    ...recordLatencies(byIndex, results),
+    repeatMismatches: countRepeatMismatches(byIndex, results),
+    ...summarizeLatencies(byIndex, results),
   };
 }
 
-function countReasons(
+function countRefusalReasons(
   results: readonly CallerResult[],
 ): Readonly<Record<string, number>> {
   const reasons: Record<string, number> = {};
@@ -81,7 +83,7 @@
   return reasons;
 }
 
-function countDoubled(executions: readonly ExecutionRecord[]): number {
+function countDuplicates(executions: readonly ExecutionRecord[]): number {
   const runs = new Map<string, number>();
   for (const {ledgerKey} of executions) {
     if (ledgerKey !== undefined)
@@ -94,14 +96,16 @@
   results: readonly CallerResult[],
   executions: readonly ExecutionRecord[],
 ): number {
-  const ran = new Set(executions.map(execution => execution.requestId));
+  const executedIds = new Set(executions.map(execution => execution.requestId));
   return results.filter(
     ({verdict, requestId}) =>
-      verdict === 'refused' && requestId !== undefined && ran.has(requestId),
+      verdict === 'refused' &&
+      requestId !== undefined &&
+      executedIds.has(requestId),
   ).length;
 }
 
-function countMismatches(
+function countRepeatMismatches(
   byIndex: ReadonlyMap<number, PlannedRequest>,
   results: readonly CallerResult[],
 ): number {
@@ -115,7 +119,7 @@
   return [...slips.values()].filter(held => held.size > 1).length;
 }
 
-function recordLatencies(
+function summarizeLatencies(
   byIndex: ReadonlyMap<number, PlannedRequest>,
   results: readonly CallerResult[],
 ): Pick<RunSummary, 'ttftByBucket' | 'shortTtft' | 'gaps'> {
@@ -142,7 +146,10 @@
   };
 }
 
-/** Tells whether a run kept the promises on loss, doubles and "not run". */
+/**
+ * Returns true if the run had no lost request, no duplicate execution, no
+ * false "not run" answer and no repeated order with a different slip number.
+ */
 export function isClean(summary: RunSummary): boolean {
   return (
     summary.lost === 0 &&
@@ -153,7 +160,7 @@
 }
 
 /**
- * Renders a summary as the lines the demo prints.
+ * Formats a summary as text lines for the terminal.
  *
  * @example
  * console.log(formatSummary(summary));
--- a/packages/nutmeggauge/src/measure/agent-measures.ts
+++ b/packages/nutmeggauge/src/measure/agent-measures.ts
@@ -1,6 +1,7 @@
 /**
- * Slopes of the agent: memory, processor time and control bytes by links to
- * gates, by requests and by streamed text, and memory by keys in the ledger.
+ * Measures cost slopes of the agent: memory, CPU time and control bytes per
+ * gate link, request and streamed chunk, and memory per idempotency key in the
+ * ledger.
  */
 import {v7 as uuidv7} from 'uuid';
 import {RpcMethod, waitMs} from '@nutmeggauge/core';
@@ -9,49 +10,53 @@
 import {
   HOST,
   openGateLinks,
-  startPlatform,
+  startLocalStandIns,
   sumControlBytes,
 } from './fixtures.js';
-import {startProbe} from './probe.js';
+import {startMeasuredProcess} from './measured-process.js';
 import {
-  REST_MS,
+  SETTLE_MS,
   STREAM_TOKENS,
   fitCalls,
   fitLinks,
   fitSparseCalls,
   fitStreams,
-  measureStretch,
+  measureInterval,
   sendAtRate,
 } from './role-slopes.js';
 import type {DispatchRequest} from '@nutmeggauge/core';
 import type {Slope} from './fit.js';
-import type {Stretch} from './role-slopes.js';
+import type {IntervalUsage} from './role-slopes.js';
 
 const LINK_COUNTS = [1, 10, 50, 150];
 const CALL_RATES = [1, 10, 40, 120];
-/** Links and calls a second as at the size to design for. */
+/** Number of links to one agent at the design size. */
 const SPARSE_LINKS = 23;
+/** Call rates around that of one agent at the design size, in calls/s. */
 const SPARSE_RATES = [0.5, 1, 1.5, 2];
 const LEDGER_SIZES = [0, 5000, 15_000, 30_000];
-/** Keyed calls sent at the same time while a ledger is filled. */
+/** Number of concurrent calls while the ledger is filled with keys. */
 const LEDGER_BATCH = 40;
-const CALL_WINDOW_MS = 60_000;
+const CALL_TIMEOUT_MS = 60_000;
 
-/** Starts an agent process before a stand-in, with links as gates open them. */
+/**
+ * Starts an agent process in front of a stand-in and opens `links` gate links
+ * to it.
+ */
 async function startLinkedAgent(
   runDir: string,
   links: number,
   kind: 'plain' | 'engine' = 'plain',
 ) {
-  const platform = await startPlatform();
+  const standIns = await startLocalStandIns();
   const [port] = await findFreePorts(1);
-  const url = kind === 'plain' ? platform.plainUrl : platform.engineUrl;
-  const agent = await startProbe('agent', runDir, {
+  const url = kind === 'plain' ? standIns.plainUrl : standIns.engineUrl;
+  const agent = await startMeasuredProcess('agent', runDir, {
     id: 'agent-m',
     zone: 'az-1',
     listen: {host: HOST, port},
     target: {kind, url},
-    configService: {url: platform.configUrl},
+    configService: {url: standIns.configUrl},
     ledger: {bootstrap: true},
   });
   const gates = await openGateLinks(links, port);
@@ -64,14 +69,14 @@
     close: async () => {
       gates.close();
       await agent.stop();
-      await platform.close();
+      await standIns.close();
     },
   };
 }
 
 let nextCall = 1;
 
-function buildCall(more: Partial<DispatchRequest> = {}): DispatchRequest {
+function buildCall(overrides: Partial<DispatchRequest> = {}): DispatchRequest {
   return {
     requestId: `m-${nextCall++}`,
     account: 'a',
@@ -79,12 +84,12 @@
     kind: 'call',
     op: 'read-stock',
     args: {},
-    deadlineAt: Date.now() + CALL_WINDOW_MS,
+    deadlineAt: Date.now() + CALL_TIMEOUT_MS,
     notRepeatable: false,
     keyed: false,
     recordVersion: 0,
     attempt: 1,
-    ...more,
+    ...overrides,
   };
 }
 
@@ -101,22 +106,22 @@
 function measureLinks(runDir: string): Promise<Slope[]> {
   return fitLinks('agent', LINK_COUNTS, async links => {
     const {agent, readBytes, close} = await startLinkedAgent(runDir, links);
-    const stretch = await measureStretch(agent, readBytes);
+    const interval = await measureInterval(agent, readBytes);
     const {rssMb} = await agent.readUsage();
     await close();
-    return {...stretch, rssMb};
+    return {...interval, rssMb};
   });
 }
 
-/** Runs `fit` on an agent with `links` links that are sent calls in turn. */
+/** Runs `fit` on an agent that receives calls over `links` links in turn. */
 async function measureCalls(
   runDir: string,
   links: number,
-  fit: (measureAt: (rate: number) => Promise<Stretch>) => Promise<Slope>,
+  fit: (measureAt: (rate: number) => Promise<IntervalUsage>) => Promise<Slope>,
 ): Promise<Slope> {
   const {agent, call, readBytes, close} = await startLinkedAgent(runDir, links);
   const slope = await fit(rate =>
-    measureStretch(agent, readBytes, () =>
+    measureInterval(agent, readBytes, () =>
       sendAtRate(rate, i => call(buildCall(), i)),
     ),
   );
@@ -131,7 +136,7 @@
     'engine',
   );
   const slopes = await fitStreams('agent', (rate, prompt) =>
-    measureStretch(agent, readBytes, () =>
+    measureInterval(agent, readBytes, () =>
       sendAtRate(rate, i =>
         call(
           buildCall({kind: 'generate', prompt, maxTokens: STREAM_TOKENS}),
@@ -144,7 +149,7 @@
   return slopes;
 }
 
-/** Memory by keys in the ledger. */
+/** Measures memory by number of keys in the ledger. */
 async function measureLedger(runDir: string): Promise<Slope[]> {
   const {agent, call, close} = await startLinkedAgent(runDir, 1);
   const rss: Array<[number, number]> = [];
@@ -158,7 +163,7 @@
       await Promise.all(calls);
       held += batch;
     }
-    await waitMs(REST_MS);
+    await waitMs(SETTLE_MS);
     rss.push([keys, (await agent.readUsage()).rssMb]);
   }
   await close();
--- a/packages/nutmeggauge/src/measure/capacity.ts
+++ b/packages/nutmeggauge/src/measure/capacity.ts
@@ -1,13 +1,13 @@
 /**
- * Works out, from measured slopes, what each role needs at the size that
- * letter 1 sets, and holds it against the letter's budget of control.
+ * Estimates from measured slopes which resources each role needs at the design
+ * size, and compares them with the budget for control overhead.
  */
 import {readFileSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
 import type {Measurement} from './measure.js';
 
-/** The size to design for (letter 1). */
-const SIZE = {
+/** Deployment size and traffic that users require the system to support. */
+const DESIGN_SIZE = {
   gates: 350,
   targets: 1500,
   requestsPerSecond: 1200,
@@ -17,49 +17,54 @@
   changesPerDay: 910,
 } as const;
 
-/** Budget of control of one node (letter 1). */
-const BUDGET = {corePercent: 4.5, memoryMb: 256, bytesPerSecond: 3000} as const;
+/** Limits that users set for the control overhead of one node. */
+const CONTROL_BUDGET = {
+  corePercent: 4.5,
+  memoryMb: 256,
+  bytesPerSecond: 3000,
+} as const;
 
-/** Settings of gates and agents at that size. */
-const SETTINGS = {
-  /** `routing.subsetSize`: targets of each pool that a gate links to. */
+/** Settings of gates and agents at the design size. */
+const DESIGN_SETTINGS = {
+  /** `routing.subsetSize`: number of targets per pool that a gate links to. */
   subsetSize: 4,
-  /** `heartbeatMs` of the agents. */
+  /** `heartbeatMs` of the agents: their heartbeat interval, in ms. */
   heartbeatMs: 10_000,
 } as const;
 
-/** Heartbeat under which the slopes by links were measured, in ms. */
+/** Heartbeat interval during the measurement of the slopes by links, in ms. */
 const MEASURED_HEARTBEAT_MS = 1000;
 
-/** Characters of prompt text of a mean request: 29,000 tokens of 4. */
-const PROMPT_KB_PER_REQUEST = 116;
+/** Mean prompt length per request, in KB: 29,000 tokens of 4 characters. */
+const MEAN_PROMPT_KB = 116;
 
 const SECONDS_PER_DAY = 86_400;
 
-/** Share of requests that carry a key, and how long a ledger keeps one, in s. */
-const KEYED_SHARE = 0.1;
-const RETAIN_S = 900;
+/** Share of requests that carry an idempotency key, 0 to 1. */
+const KEYED_REQUEST_SHARE = 0.1;
+/** Time for which an agent's ledger retains an idempotency key, in s. */
+const KEY_RETENTION_S = 900;
 
-interface Row {
+interface FigureRow {
   readonly role: 'gate' | 'agent' | 'configuration';
   readonly figure: string;
-  readonly working: string;
+  readonly derivation: string;
   readonly value: number;
   readonly unit: string;
   readonly budget?: number;
 }
 
-/** Slopes by name, with the measured line's value at x. */
-class Slopes {
+/** Looks up measured slopes by name; values are NaN if the name is missing. */
+class SlopeTable {
   constructor(private readonly measurement: Measurement) {}
 
-  /** The slope alone: what one more costs. */
+  /** Returns the slope: the cost of one more link, request or other unit. */
   readSlope(name: string): number {
     return this.find(name).slope;
   }
 
-  /** The line's value at `x`. */
-  readAt(name: string, x: number): number {
+  /** Returns the value of the fitted line at `x`. */
+  estimateAt(name: string, x: number): number {
     const {slope, intercept} = this.find(name);
     return intercept + slope * x;
   }
@@ -70,188 +75,208 @@
   }
 }
 
-/** What a process of one role meets at the letter's size. */
+/** Load on one process of a role at the design size. */
 interface RoleLoad {
   readonly role: 'gate' | 'agent';
   readonly links: number;
   readonly requestsPerSecond: number;
-  readonly piecesPerSecond: number;
-  /** Memory beside that of its links, in MB, and what it is made of. */
+  readonly chunksPerSecond: number;
+  /** Memory without that of the links, in MB. */
   readonly stateMb: number;
+  /** Description of the state that `stateMb` holds. */
   readonly state: string;
-  /** Processor time of taking records in, in % of a core. */
+  /** CPU time for applying configuration records, in % of a core. */
   readonly recordCorePercent: number;
   readonly recordBytesPerSecond: number;
 }
 
 /**
- * Lists every figure at the letter's size.
+ * Returns the estimated figures of every role at the design size.
  *
  * @example
  * listFigures(measurement).filter(row => row.budget !== undefined);
  */
-export function listFigures(measurement: Measurement): readonly Row[] {
-  const slopes = new Slopes(measurement);
+export function listFigures(measurement: Measurement): readonly FigureRow[] {
+  const slopes = new SlopeTable(measurement);
   return [
-    ...listRoleFigures(slopes, describeGate(slopes)),
-    ...listRoleFigures(slopes, describeAgent(slopes)),
+    ...listRoleFigures(slopes, buildGateLoad(slopes)),
+    ...listRoleFigures(slopes, buildAgentLoad(slopes)),
     ...listConfigFigures(slopes),
   ];
 }
 
-/** Idle cost at the heartbeat of that size, from the one measured at 1 s. */
-function toLongHeartbeat(perSecond: number): number {
-  return (perSecond * MEASURED_HEARTBEAT_MS) / SETTINGS.heartbeatMs;
+/** Scales an idle cost measured at a 1 s heartbeat to the design heartbeat. */
+function toDesignHeartbeat(perSecond: number): number {
+  return (perSecond * MEASURED_HEARTBEAT_MS) / DESIGN_SETTINGS.heartbeatMs;
 }
 
-/** Cost a second of something that each change of the configuration costs. */
+/** Converts a cost per configuration change to a mean cost per second. */
 function toPerSecond(perChange: number): number {
-  return (perChange * SIZE.changesPerDay) / SECONDS_PER_DAY;
+  return (perChange * DESIGN_SIZE.changesPerDay) / SECONDS_PER_DAY;
 }
 
-function describeGate(slopes: Slopes): RoleLoad {
-  const recordCpuMs = slopes.readAt(
+function buildGateLoad(slopes: SlopeTable): RoleLoad {
+  const recordCpuMs = slopes.estimateAt(
     'gate.record_cpu_ms_by_accounts',
-    SIZE.accounts,
+    DESIGN_SIZE.accounts,
   );
   return {
     role: 'gate',
-    links: SIZE.models * SETTINGS.subsetSize,
-    requestsPerSecond: SIZE.requestsPerSecond / SIZE.gates,
-    piecesPerSecond: SIZE.tokensPerSecond / SIZE.gates,
+    links: DESIGN_SIZE.models * DESIGN_SETTINGS.subsetSize,
+    requestsPerSecond: DESIGN_SIZE.requestsPerSecond / DESIGN_SIZE.gates,
+    chunksPerSecond: DESIGN_SIZE.tokensPerSecond / DESIGN_SIZE.gates,
     stateMb:
-      slopes.readAt('gate.rss_mb_by_accounts', SIZE.accounts) +
-      slopes.readSlope('gate.rss_mb_by_targets') * SIZE.targets,
-    state: `record of ${SIZE.accounts} accounts and ${SIZE.targets} targets`,
-    // Milliseconds a second are tenths of a percent.
+      slopes.estimateAt('gate.rss_mb_by_accounts', DESIGN_SIZE.accounts) +
+      slopes.readSlope('gate.rss_mb_by_targets') * DESIGN_SIZE.targets,
+    state: `record of ${DESIGN_SIZE.accounts} accounts and ${DESIGN_SIZE.targets} targets`,
+    // One ms of CPU time per second is a tenth of a percent of a core.
     recordCorePercent: toPerSecond(recordCpuMs) / 10,
     recordBytesPerSecond: toPerSecond(
-      slopes.readAt('config.gate_delta_bytes_by_accounts', SIZE.accounts),
+      slopes.estimateAt(
+        'config.gate_delta_bytes_by_accounts',
+        DESIGN_SIZE.accounts,
+      ),
     ),
   };
 }
 
-function describeAgent(slopes: Slopes): RoleLoad {
-  const requestsPerSecond = SIZE.requestsPerSecond / SIZE.targets;
-  const targetsPerModel = SIZE.targets / SIZE.models;
-  const keys = requestsPerSecond * KEYED_SHARE * RETAIN_S;
+function buildAgentLoad(slopes: SlopeTable): RoleLoad {
+  const requestsPerSecond = DESIGN_SIZE.requestsPerSecond / DESIGN_SIZE.targets;
+  const targetsPerModel = DESIGN_SIZE.targets / DESIGN_SIZE.models;
+  const keys = requestsPerSecond * KEYED_REQUEST_SHARE * KEY_RETENTION_S;
   return {
     role: 'agent',
-    links: (SIZE.gates * SETTINGS.subsetSize) / targetsPerModel,
+    links: (DESIGN_SIZE.gates * DESIGN_SETTINGS.subsetSize) / targetsPerModel,
     requestsPerSecond,
-    piecesPerSecond: SIZE.tokensPerSecond / SIZE.targets,
+    chunksPerSecond: DESIGN_SIZE.tokensPerSecond / DESIGN_SIZE.targets,
     stateMb:
-      slopes.readAt('agent.rss_mb_by_links', 0) +
+      slopes.estimateAt('agent.rss_mb_by_links', 0) +
       slopes.readSlope('agent.rss_mb_by_ledger_keys') * keys,
     state: `${keys.toFixed(0)} keys in the ledger`,
     recordCorePercent: 0,
     recordBytesPerSecond: toPerSecond(
-      slopes.readAt('config.agent_delta_bytes_by_accounts', SIZE.accounts),
+      slopes.estimateAt(
+        'config.agent_delta_bytes_by_accounts',
+        DESIGN_SIZE.accounts,
+      ),
     ),
   };
 }
 
-function listRoleFigures(slopes: Slopes, load: RoleLoad): readonly Row[] {
-  const {role, links, requestsPerSecond, piecesPerSecond} = load;
-  const promptKb = requestsPerSecond * PROMPT_KB_PER_REQUEST;
+function listRoleFigures(
+  slopes: SlopeTable,
+  load: RoleLoad,
+): readonly FigureRow[] {
+  const {role, links, requestsPerSecond, chunksPerSecond} = load;
+  const promptKb = requestsPerSecond * MEAN_PROMPT_KB;
   const readSlope = (name: string) => slopes.readSlope(`${role}.${name}`);
-  const idleBytes = toLongHeartbeat(
+  const idleBytes = toDesignHeartbeat(
     readSlope('control_bytes_s_by_links') * links,
   );
   const callBytes = readSlope('control_bytes_s_by_calls_s') * requestsPerSecond;
   const idleCore =
-    slopes.readAt(`${role}.idle_core_percent_by_links`, 0) +
-    toLongHeartbeat(readSlope('idle_core_percent_by_links') * links);
+    slopes.estimateAt(`${role}.idle_core_percent_by_links`, 0) +
+    toDesignHeartbeat(readSlope('idle_core_percent_by_links') * links);
   const traffic = `${requestsPerSecond.toFixed(2)} requests/s`;
-  const heartbeat = `${links.toFixed(0)} links at a ${SETTINGS.heartbeatMs / 1000} s heartbeat`;
+  const heartbeat = `${links.toFixed(0)} links at a ${DESIGN_SETTINGS.heartbeatMs / 1000} s heartbeat`;
   return [
     {
       role,
       figure: 'memory',
-      working: `${load.state}, ${links.toFixed(0)} links`,
+      derivation: `${load.state}, ${links.toFixed(0)} links`,
       value: load.stateMb + readSlope('rss_mb_by_links') * links,
       unit: 'MB',
-      budget: BUDGET.memoryMb,
+      budget: CONTROL_BUDGET.memoryMb,
     },
     {
       role,
       figure: 'processor time, control',
-      working: `${heartbeat} + ${SIZE.changesPerDay} changes a day`,
+      derivation: `${heartbeat} + ${DESIGN_SIZE.changesPerDay} changes a day`,
       value: idleCore + load.recordCorePercent,
       unit: '% of a core',
-      budget: BUDGET.corePercent,
+      budget: CONTROL_BUDGET.corePercent,
     },
     {
       role,
       figure: 'control bytes',
-      working: `${heartbeat} (${idleBytes.toFixed(0)}) + ${traffic} (${callBytes.toFixed(0)}) + changes (${load.recordBytesPerSecond.toFixed(0)})`,
+      derivation: `${heartbeat} (${idleBytes.toFixed(0)}) + ${traffic} (${callBytes.toFixed(0)}) + changes (${load.recordBytesPerSecond.toFixed(0)})`,
       value: idleBytes + callBytes + load.recordBytesPerSecond,
       unit: 'bytes/s',
-      budget: BUDGET.bytesPerSecond,
+      budget: CONTROL_BUDGET.bytesPerSecond,
     },
     {
       role,
       figure: 'processor time, traffic',
-      working: `${traffic}, ${piecesPerSecond.toFixed(0)} pieces/s, ${promptKb.toFixed(0)} KB/s of prompts`,
+      derivation: `${traffic}, ${chunksPerSecond.toFixed(0)} pieces/s, ${promptKb.toFixed(0)} KB/s of prompts`,
       value:
         readSlope('core_percent_by_calls_s') * requestsPerSecond +
-        readSlope('core_percent_by_pieces_s') * piecesPerSecond +
+        readSlope('core_percent_by_pieces_s') * chunksPerSecond +
         readSlope('core_percent_by_prompt_kb_s') * promptKb,
       unit: '% of a core',
     },
   ];
 }
 
-/** Time in which a change must be in force everywhere (letter 1), in ms. */
-const IN_FORCE_MS = 8000;
+/**
+ * Time within which users require a change to be in force everywhere, in ms.
+ */
+const PROPAGATION_LIMIT_MS = 8000;
 
-/** Reads a second that the service answers, across all readers (brief). */
-const SERVICE_READS_PER_SECOND = 2000;
+/** Reads per second that the configuration service answers for all readers. */
+const CONFIG_READS_PER_SECOND = 2000;
 
-function listConfigFigures(slopes: Slopes): readonly Row[] {
-  const readers = SIZE.gates + SIZE.targets;
-  const perChange = (SIZE.changesPerDay * readers) / SECONDS_PER_DAY;
-  const idle = slopes.readAt('config.reads_s_by_readers', readers);
+function listConfigFigures(slopes: SlopeTable): readonly FigureRow[] {
+  const readers = DESIGN_SIZE.gates + DESIGN_SIZE.targets;
+  const changeReadsPerSecond =
+    (DESIGN_SIZE.changesPerDay * readers) / SECONDS_PER_DAY;
+  const idleReadsPerSecond = slopes.estimateAt(
+    'config.reads_s_by_readers',
+    readers,
+  );
   return [
     {
       role: 'configuration',
       figure: 'change in force at every reader',
-      working: `${readers} readers, slowest of ten changes`,
-      value: slopes.readAt('config.in_force_ms_by_readers', readers),
+      derivation: `${readers} readers, slowest of ten changes`,
+      value: slopes.estimateAt('config.in_force_ms_by_readers', readers),
       unit: 'ms',
-      budget: IN_FORCE_MS,
+      budget: PROPAGATION_LIMIT_MS,
     },
     {
       role: 'configuration',
       figure: 'reads of the service',
-      working: `${readers} watches of 25 s (${idle.toFixed(0)}) + ${SIZE.changesPerDay} changes a day (${perChange.toFixed(1)})`,
-      value: idle + perChange,
+      derivation: `${readers} watches of 25 s (${idleReadsPerSecond.toFixed(0)}) + ${DESIGN_SIZE.changesPerDay} changes a day (${changeReadsPerSecond.toFixed(1)})`,
+      value: idleReadsPerSecond + changeReadsPerSecond,
       unit: 'reads/s',
-      budget: SERVICE_READS_PER_SECOND,
+      budget: CONFIG_READS_PER_SECOND,
     },
     {
       role: 'configuration',
       figure: 'whole record',
-      working: `${SIZE.accounts} accounts, ${SIZE.targets} targets`,
-      value: slopes.readAt('config.record_bytes_by_accounts', SIZE.accounts),
+      derivation: `${DESIGN_SIZE.accounts} accounts, ${DESIGN_SIZE.targets} targets`,
+      value: slopes.estimateAt(
+        'config.record_bytes_by_accounts',
+        DESIGN_SIZE.accounts,
+      ),
       unit: 'bytes',
       budget: 1_048_576,
     },
   ];
 }
 
-function formatRow(row: Row): string {
+function formatRow(row: FigureRow): string {
   const budget = row.budget === undefined ? '–' : String(row.budget);
   const verdict =
     row.budget === undefined ? '–' : row.value <= row.budget ? 'yes' : '**no**';
   const value = row.value.toPrecision(4);
-  return `| ${[row.role, row.figure, row.working, `${value} ${row.unit}`, budget, verdict].join(' | ')} |`;
+  return `| ${[row.role, row.figure, row.derivation, `${value} ${row.unit}`, budget, verdict].join(' | ')} |`;
 }
 
 /**
- * Reads `measured.json` in `dir` and writes `figures.md` beside it.
+ * Reads `measured.json` in `dir` and writes the estimates to `figures.md` in
+ * the same directory.
  *
- * @returns The table as written.
+ * @returns Content of `figures.md`.
  * @example
  * writeCapacity('docs/capacity');
  */
@@ -265,23 +290,23 @@
   );
   const {drainMs, freezeMs, killMs} = measurement.leaving;
   const text = [
-    "# Figures at letter 1's size",
+    '# Capacity figures at the design size',
     '',
     `Written by \`nutmeggauge capacity docs/capacity\` from \`measured.json\` (${measurement.measuredAt}); do not edit.`,
     '',
-    '| role | figure | worked out from | value | budget | within |',
+    '| role | figure | derived from | value | budget | within budget |',
     '| --- | --- | --- | --- | --- | --- |',
     ...listFigures(measurement).map(formatRow),
     '',
     '## Measured slopes',
     '',
-    '| slope | by | a unit more | at none | R² | unit |',
+    '| slope | variable | per unit | at zero | R² | unit |',
     '| --- | --- | --- | --- | --- | --- |',
     ...slopes,
     '',
-    '## Until a gate stops sending to a target',
+    '## Time until a gate stops routing to a target',
     '',
-    `Its agent drains: ${drainMs.toFixed(0)} ms. It is killed: ${killMs.toFixed(0)} ms. It freezes (heartbeats of 1 s): ${freezeMs.toFixed(0)} ms.`,
+    `After its agent starts to drain: ${drainMs.toFixed(0)} ms. After its agent is killed: ${killMs.toFixed(0)} ms. After its agent freezes (heartbeat interval of 1 s): ${freezeMs.toFixed(0)} ms.`,
     '',
   ].join('\n');
   writeFileSync(join(dir, 'figures.md'), text);
--- a/packages/nutmeggauge/src/measure/leaving-measures.ts
+++ b/packages/nutmeggauge/src/measure/leaving-measures.ts
@@ -1,33 +1,35 @@
 /**
- * How soon a gate stops routing to a target that drains, freezes or is
- * killed.
+ * Measures how long a gate keeps routing to a target whose agent drains,
+ * freezes or is killed.
  */
 import {findFreePorts} from '../cluster/ports.js';
-import {HOST, buildRecord, startPlatform} from './fixtures.js';
+import {HOST, buildRecord, startLocalStandIns} from './fixtures.js';
 import {startGate} from './gate-measures.js';
-import {measureUntil, startProbe} from './probe.js';
+import {measureUntil, startMeasuredProcess} from './measured-process.js';
 
 /** Times until a gate stops routing to a target, in ms. */
-export interface LeavingBounds {
-  /** After its agent began to drain. */
+export interface RemovalLatencies {
+  /** Time after the target's agent starts to drain. */
   readonly drainMs: number;
-  /** After its agent was paused (SIGSTOP). */
+  /** Time after the target's agent is paused (SIGSTOP). */
   readonly freezeMs: number;
-  /** After its agent was killed (SIGKILL). */
+  /** Time after the target's agent is killed (SIGKILL). */
   readonly killMs: number;
 }
 
-/** Measures how soon a gate stops routing to a target that goes. */
-export async function measureLeaving(runDir: string): Promise<LeavingBounds> {
-  const platform = await startPlatform();
+/** Measures the times until a gate stops routing to a target. */
+export async function measureRemovalLatencies(
+  runDir: string,
+): Promise<RemovalLatencies> {
+  const standIns = await startLocalStandIns();
   const ports = await findFreePorts(3);
   const agents = await Promise.all(
     ports.map((port, i) =>
-      startProbe('agent', runDir, {
+      startMeasuredProcess('agent', runDir, {
         id: `t-${i}`,
         zone: 'az-1',
         listen: {host: HOST, port},
-        target: {kind: 'plain', url: platform.plainUrl},
+        target: {kind: 'plain', url: standIns.plainUrl},
         ledger: {bootstrap: true},
       }),
     ),
@@ -37,8 +39,8 @@
     agent: `${HOST}:${port}`,
     zone: 'az-1',
   }));
-  platform.config.publish(buildRecord(1, targets));
-  const gate = await startGate(runDir, platform);
+  standIns.config.publish(buildRecord(1, targets));
+  const gate = await startGate(runDir, standIns);
   const listUsable = async () =>
     (await gate.listTargets()).filter(t => t.usable).map(t => t.id);
   await measureUntil(async () => (await listUsable()).length === ports.length);
@@ -53,7 +55,9 @@
     freezeMs: await measure(1, 'SIGSTOP'),
     killMs: await measure(2, 'SIGKILL'),
   };
-  await Promise.all([...agents, gate].map(probe => probe.stop()));
-  await platform.close();
+  await Promise.all(
+    [...agents, gate].map(measuredProcess => measuredProcess.stop()),
+  );
+  await standIns.close();
   return bounds;
 }
--- a/packages/nutmeggauge/src/measure/probe.ts
+++ b/packages/nutmeggauge/src/measure/measured-process.ts
@@ -1,6 +1,6 @@
 /**
- * One process under measurement: its settings, its processor time and
- * memory, and, for a gate, its counters.
+ * Starts gate or agent processes for measurements and reads their CPU time and
+ * memory, and for gates their admin API.
  */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
@@ -20,7 +20,7 @@
 
 const BYTES_PER_MB = 1024 * 1024;
 
-/** Processor time used so far, in ms, and resident memory, in MB. */
+/** CPU time since the start of a process, in ms, and resident memory, in MB. */
 export interface Usage {
   readonly cpuMs: number;
   readonly rssMb: number;
@@ -30,10 +30,10 @@
  * A gate or agent process under measurement.
  *
  * @example
- * const probe = await startProbe('gate', 'runs/measure', settings);
- * const share = await probe.measureCoreShare(5000);
+ * const gate = await startMeasuredProcess('gate', 'runs/measure', settings);
+ * const corePercent = await gate.measureCoreShare(5000);
  */
-export class Probe {
+export class MeasuredProcess {
   constructor(
     private readonly child: ChildHandle,
     readonly port: number,
@@ -45,7 +45,7 @@
     return {cpuMs: ctime, rssMb: memory / BYTES_PER_MB};
   }
 
-  /** Mean share of one core, in %, over the next `ms`. */
+  /** Measures the mean CPU usage over the next `ms`, in % of one core. */
   async measureCoreShare(ms: number): Promise<number> {
     const before = await this.readUsage();
     await waitMs(ms);
@@ -53,7 +53,7 @@
     return ((after.cpuMs - before.cpuMs) / ms) * 100;
   }
 
-  /** Counters of a gate, by name. */
+  /** Returns the counters of a gate, by name. */
   async readCounters(): Promise<Readonly<Record<string, number>>> {
     const body = await this.readAdmin<{counters: Record<string, number>}>(
       'counters',
@@ -61,7 +61,7 @@
     return body.counters;
   }
 
-  /** Targets that a gate keeps links to. */
+  /** Returns the targets that a gate keeps links to. */
   async listTargets(): Promise<
     ReadonlyArray<{readonly id: string; readonly usable: boolean}>
   > {
@@ -71,15 +71,15 @@
     return body.targets;
   }
 
-  /** Version of the record that a gate holds. */
+  /** Returns the version of the configuration record that a gate uses. */
   async readVersion(): Promise<number> {
     const body = await this.readAdmin<{record: {version: number}}>('status');
     return body.record.version;
   }
 
-  private async readAdmin<T>(page: string): Promise<T> {
+  private async readAdmin<T>(resource: string): Promise<T> {
     const response = await request(
-      `http://127.0.0.1:${this.adminPort}/v1/${page}`,
+      `http://127.0.0.1:${this.adminPort}/v1/${resource}`,
     );
     return (await response.body.json()) as T;
   }
@@ -94,24 +94,25 @@
   }
 }
 
-let nextProbe = 1;
+let nextProcessNumber = 1;
 
 /**
- * Starts a gate or an agent with `settings`, whose `listen.port` is its port.
+ * Starts a gate or agent process with `settings`, whose `listen.port` becomes
+ * the `port` of the result.
  *
  * @example
- * await startProbe('agent', 'runs/measure', {id: 'a', listen: {port: 7101}, ...});
+ * await startMeasuredProcess('agent', 'runs/measure', {id: 'a', listen: {port: 7101}, ...});
  */
-export async function startProbe(
+export async function startMeasuredProcess(
   role: keyof typeof BINARIES,
   runDir: string,
   settings: Readonly<Record<string, unknown>> & {
     readonly listen: ListenAddress;
     readonly admin?: {readonly listen: ListenAddress};
   },
-): Promise<Probe> {
+): Promise<MeasuredProcess> {
   mkdirSync(runDir, {recursive: true});
-  const name = `${role}-${nextProbe++}`;
+  const name = `${role}-${nextProcessNumber++}`;
   const file = join(runDir, `${name}.yaml`);
   writeFileSync(file, stringifyYaml(settings));
   const child = await startChild(
@@ -120,7 +121,7 @@
     ['--config', file],
     join(runDir, `${name}.log`),
   );
-  return new Probe(
+  return new MeasuredProcess(
     child,
     settings.listen.port,
     settings.admin?.listen.port ?? 0,
@@ -128,20 +129,21 @@
 }
 
 /**
- * Polls `check` every `everyMs` and resolves with the time it took to hold.
+ * Polls `check` and returns the time until it first returned true, in ms, or
+ * NaN after `limitMs`.
  *
  * @example
  * const ms = await measureUntil(() => gate.isReady());
  */
 export async function measureUntil(
   check: () => boolean | Promise<boolean>,
-  everyMs = 5,
-  giveUpMs = 60_000,
+  pollIntervalMs = 5,
+  limitMs = 60_000,
 ): Promise<number> {
   const startedAt = performance.now();
   while (!(await check())) {
-    if (performance.now() - startedAt > giveUpMs) return NaN;
-    await waitMs(everyMs);
+    if (performance.now() - startedAt > limitMs) return NaN;
+    await waitMs(pollIntervalMs);
   }
   return performance.now() - startedAt;
 }
