--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -15,7 +15,7 @@
   readPort,
   waitMs,
 } from '@nutmeggauge/core';
-import {Intake} from './intake/intake.js';
+import {DispatchHandler} from './dispatch/dispatch-handler.js';
 import {createLanes} from './lanes/lanes.js';
 import {createLedger} from './ledger/ledger.js';
 import {createKeyOwnership} from './ledger/ownership.js';
@@ -24,7 +24,7 @@
 import {EngineTarget} from './target/engine-target.js';
 import {PlainTarget} from './target/plain-target.js';
 import type {
-  CancelNotice,
+  CancelNotification,
   ConfigRecord,
   ConfigWatcher,
   DispatchOutcome,
@@ -61,7 +61,7 @@
   private readonly server = createServer(socket =>
     this.accept(createRpcLink(socket, this.counters)),
   );
-  private readonly dispatchHandler: Intake;
+  private readonly dispatchHandler: DispatchHandler;
   private readonly ownership;
   private readonly reporter: LoadReporter;
   private readonly watcher: ConfigWatcher | undefined;
@@ -76,7 +76,7 @@
       retainMs: ledger.retainMs,
     });
     this.watcher = this.createWatcher();
-    this.dispatchHandler = new Intake({
+    this.dispatchHandler = new DispatchHandler({
       target:
         target.kind === 'engine'
           ? new EngineTarget(target.url, lanes.prioritize)
@@ -87,7 +87,7 @@
       counters: this.counters,
       shortMaxTokens: lanes.shortMaxTokens,
       readRecordVersion: () => this.watcher?.version,
-      onWorkChange: () => this.reporter.notifyChange(),
+      onLoadChange: () => this.reporter.notifyChange(),
     });
     this.reporter = new LoadReporter({
       reportMs: settings.loadReportMs,
@@ -180,7 +180,7 @@
       const ids = pool.targets.map(target => target.id);
       this.ownership.applyTargets(pool.id, ids, Date.now());
     }
-    void this.orders?.runRound();
+    void this.orders?.runReconciliation();
   }
 
   private accept(link: RpcLink): void {
@@ -190,7 +190,7 @@
       this.dispatch(params as DispatchRequest, link),
     );
     link.handle(RpcMethod.cancel, params =>
-      this.dispatchHandler.cancel((params as CancelNotice).requestId),
+      this.dispatchHandler.cancel((params as CancelNotification).requestId),
     );
     // A gate sends its configuration record when this agent's stays older.
     link.handle(RpcMethod.record, params => this.watcher?.offer(params));
--- /dev/null
+++ b/packages/agent/src/dispatch/chunk-receiver.ts
@@ -0,0 +1,4 @@
+import type {ChunkNotification} from '@nutmeggauge/core';
+
+/** Receives the chunks of one request. */
+export type ChunkReceiver = (notice: ChunkNotification) => void;
--- a/packages/agent/src/intake/intake.test.ts
+++ b/packages/agent/src/dispatch/dispatch-handler.test.ts
@@ -6,7 +6,7 @@
 import {createLedger} from '../ledger/ledger.js';
 import {createKeyOwnership} from '../ledger/ownership.js';
 import {TargetClient} from '../target/target.js';
-import {Intake} from './intake.js';
+import {DispatchHandler} from './dispatch-handler.js';
 import type {DispatchOutcome, DispatchRequest} from '@nutmeggauge/core';
 
 const DONE = {status: 'done', chunks: 0, tokens: 0, cachedTokens: 0} as const;
@@ -34,7 +34,7 @@
 
 function createTestHandler(recordVersion = 1) {
   const target = new ManualTarget();
-  const handler = new Intake({
+  const handler = new DispatchHandler({
     target,
     lanes: createLanes({short: 1, long: 1}),
     ledger: createLedger(),
@@ -46,7 +46,7 @@
     counters: createCounters(),
     shortMaxTokens: 100,
     readRecordVersion: () => recordVersion,
-    onWorkChange: () => {},
+    onLoadChange: () => {},
   });
   const send = (requestId: string, overrides: Partial<DispatchRequest> = {}) =>
     handler.dispatch(
--- a/packages/agent/src/intake/intake.ts
+++ b/packages/agent/src/dispatch/dispatch-handler.ts
@@ -9,7 +9,7 @@
   findLengthClass,
 } from '@nutmeggauge/core';
 import {LEDGER_FULL} from '../ledger/ledger.js';
-import {DuplicateRequests} from './copies.js';
+import {DuplicateRequests} from './duplicate-requests.js';
 import type {
   Counters,
   DispatchOutcome,
@@ -39,7 +39,7 @@
    * Called when a request is added, produces its first token or ends, as each
    * changes the load considerably.
    */
-  readonly onWorkChange: () => void;
+  readonly onLoadChange: () => void;
 }
 
 /** Queued and pending work of one agent, as sent in its load report. */
@@ -75,7 +75,7 @@
  * @example
  * const outcome = await handler.dispatch(request, link, notice => link.notify('chunk', notice));
  */
-export class Intake {
+export class DispatchHandler {
   private readonly active = new Map<string, ActiveRequest>();
   private readonly duplicates: DuplicateRequests;
   private draining = false;
@@ -258,7 +258,7 @@
       producedTokens: 0,
     };
     this.active.set(request.requestId, active);
-    this.options.onWorkChange();
+    this.options.onLoadChange();
     // A suspended or disconnected gate sends no cancel at the deadline.
     const deadlineTimer = setTimeout(
       () => this.cancel(request.requestId),
@@ -273,7 +273,7 @@
         return await target.run(
           request,
           (seq, text) => {
-            if (active.producedTokens++ === 0) this.options.onWorkChange();
+            if (active.producedTokens++ === 0) this.options.onLoadChange();
             receive({requestId: request.requestId, seq, text});
           },
           signal,
@@ -284,7 +284,7 @@
     } finally {
       clearTimeout(deadlineTimer);
       this.active.delete(request.requestId);
-      this.options.onWorkChange();
+      this.options.onLoadChange();
     }
   }
 }
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -1,5 +1,5 @@
 export * from './agent.js';
-export * from './intake/intake.js';
+export * from './dispatch/dispatch-handler.js';
 export * from './lanes/lanes.js';
 export * from './ledger/ledger.js';
 export * from './ledger/ownership.js';
--- a/packages/agent/src/orders/engine-orders.ts
+++ b/packages/agent/src/orders/engine-orders.ts
@@ -73,7 +73,7 @@
 
   start(): void {
     this.timer = setInterval(
-      () => void this.runRound(),
+      () => void this.runReconciliation(),
       this.options.reconcileMs ?? 2000,
     );
   }
@@ -86,7 +86,7 @@
    * Compares the engine's setting with the record and sends an order for each
    * difference. Does nothing while another reconciliation runs.
    */
-  async runRound(): Promise<void> {
+  async runReconciliation(): Promise<void> {
     if (this.busy || this.findDesiredState() === undefined) return;
     this.busy = true;
     try {
--- a/packages/core/src/daemon.ts
+++ b/packages/core/src/daemon.ts
@@ -4,7 +4,10 @@
  */
 import meow from 'meow';
 import {SettingsError} from './errors.js';
-import {createLastResort, observeUncaught} from './last-resort.js';
+import {
+  createUncaughtErrorHandler,
+  handleUncaughtErrors,
+} from './uncaught-errors.js';
 import {createLogger, setProcessName} from './log.js';
 import {loadSettings} from './settings.js';
 import type {z} from 'zod';
@@ -59,8 +62,8 @@
   setProcessName(settings.id);
   const task = options.createTask(settings);
   const log = createLogger('daemon');
-  observeUncaught(
-    createLastResort({
+  handleUncaughtErrors(
+    createUncaughtErrorHandler({
       log,
       drain: () => task.drain(),
       drainLimitMs: task.drainLimitMs,
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -6,7 +6,7 @@
 export * from './errors.js';
 export * from './http.js';
 export * from './idempotency-key.js';
-export * from './last-resort.js';
+export * from './uncaught-errors.js';
 export * from './length-class.js';
 export * from './listen.js';
 export * from './log.js';
--- a/packages/core/src/length-class.ts
+++ b/packages/core/src/length-class.ts
@@ -7,7 +7,7 @@
 const CLASS_BOUNDS = [8_192, 32_768, 131_072] as const;
 
 /** Number of length classes. */
-export const LENGTH_CLASSES = CLASS_BOUNDS.length + 1;
+export const LENGTH_CLASS_COUNT = CLASS_BOUNDS.length + 1;
 
 /**
  * Returns the length class of a prompt; 0 is the class of the shortest prompts.
@@ -28,5 +28,5 @@
  * createClassCounts(); // [0, 0, 0, 0]
  */
 export function createClassCounts(): number[] {
-  return Array.from({length: LENGTH_CLASSES}, () => 0);
+  return Array.from({length: LENGTH_CLASS_COUNT}, () => 0);
 }
--- a/packages/core/src/listen.test.ts
+++ b/packages/core/src/listen.test.ts
@@ -2,7 +2,7 @@
 import {connect} from 'node:net';
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
-import {closeHttpServer, closeIdleWhenRead, openListener} from './listen.js';
+import {closeHttpServer, closeIdleAfterRead, openListener} from './listen.js';
 
 /** Idle timeout of keep-alive connections, in ms. */
 const IDLE_MS = 1000;
@@ -27,7 +27,7 @@
   const server = createServer({keepAliveTimeout: IDLE_MS}, (_req, res) => {
     res.end('ok');
   });
-  closeIdleWhenRead(server);
+  closeIdleAfterRead(server);
   const port = await openListener(server, {host: '127.0.0.1', port: 0});
   const outcomes: string[] = [];
   await new Promise<void>(resolve => {
--- a/packages/core/src/listen.ts
+++ b/packages/core/src/listen.ts
@@ -60,10 +60,10 @@
  * suspension runs its timers and signal handlers before it reads its sockets.
  *
  * @example
- * await waitForReading(server);
+ * await waitForPendingReads(server);
  * server.close();
  */
-export async function waitForReading(server: Server): Promise<void> {
+export async function waitForPendingReads(server: Server): Promise<void> {
   const giveUpAt = performance.now() + MAX_READ_WAIT_MS;
   let idleIterations = 0;
   const resetIdleIterations = () => (idleIterations = 0);
@@ -81,9 +81,9 @@
  * sockets, and would otherwise close connections with unread requests.
  *
  * @example
- * closeIdleWhenRead(createServer(serve));
+ * closeIdleAfterRead(createServer(serve));
  */
-export function closeIdleWhenRead(server: HttpServer): void {
+export function closeIdleAfterRead(server: HttpServer): void {
   // With a `timeout` listener, Node no longer closes the socket itself.
   server.on('timeout', socket => {
     const bytesRead = socket.bytesRead;
--- a/packages/core/src/protocol.ts
+++ b/packages/core/src/protocol.ts
@@ -5,7 +5,7 @@
  */
 
 import {z} from 'zod';
-import {LENGTH_CLASSES} from './length-class.js';
+import {LENGTH_CLASS_COUNT} from './length-class.js';
 
 /** Names of JSON-RPC methods and notifications. */
 export const RpcMethod = {
@@ -98,7 +98,7 @@
   | {readonly status: 'unknown'; readonly reason: string};
 
 /** One chunk of a streamed answer (agent → gate). */
-export interface ChunkNotice {
+export interface ChunkNotification {
   readonly requestId: string;
   /** Sequence number: 0, 1, 2 … in the order in which the target sends chunks. */
   readonly seq: number;
@@ -109,12 +109,12 @@
  * Acknowledges a dispatch (agent → gate): the agent is running and has received
  * the request.
  */
-export interface AcceptedNotice {
+export interface AcceptedNotification {
   readonly requestId: string;
 }
 
 /** Cancels a dispatched request (gate → agent). */
-export interface CancelNotice {
+export interface CancelNotification {
   readonly requestId: string;
 }
 
@@ -132,7 +132,7 @@
   queued: z.number(),
   inFlight: z.number(),
   /** Prompt tokens queued or in prefill at the agent and its target, by length class. */
-  pendingByClass: z.array(z.number()).length(LENGTH_CLASSES),
+  pendingByClass: z.array(z.number()).length(LENGTH_CLASS_COUNT),
   /** Tokens that requests in flight have yet to generate. */
   pendingDecodeTokens: z.number(),
 });
--- a/packages/core/src/rpc.test.ts
+++ b/packages/core/src/rpc.test.ts
@@ -9,8 +9,8 @@
 import {createCounters} from './metrics.js';
 import {
   createRpcLink,
-  createRpcRefusal,
-  findRefusalCode,
+  createRpcError,
+  findRpcErrorCode,
   openRpcLink,
 } from './rpc.js';
 import type {Socket} from 'node:net';
@@ -135,14 +135,14 @@
   it('returns the error code that a handler answered with, and not that code for other errors', async () => {
     const {link, far, close} = await openLinkFixture();
     link.handle('full', () => {
-      throw createRpcRefusal(7, 'no capacity left');
+      throw createRpcError(7, 'no capacity left');
     });
     const farLink = createRpcLink(far);
     const refused = await farLink.call('full', {}).catch(error => error);
     const unknown = await farLink.call('other', {}, 1000).catch(error => error);
-    expect(findRefusalCode(refused)).toEqual(7);
-    expect(findRefusalCode(unknown)).not.toEqual(7);
-    expect(findRefusalCode(new Error('x'))).toEqual(undefined);
+    expect(findRpcErrorCode(refused)).toEqual(7);
+    expect(findRpcErrorCode(unknown)).not.toEqual(7);
+    expect(findRpcErrorCode(new Error('x'))).toEqual(undefined);
     close();
   });
 
--- a/packages/core/src/rpc.ts
+++ b/packages/core/src/rpc.ts
@@ -188,9 +188,9 @@
  * Creates an error that a handler throws to answer a call with an error code.
  *
  * @example
- * throw createRpcRefusal(1, 'busy');
+ * throw createRpcError(1, 'busy');
  */
-export function createRpcRefusal(code: number, message: string): Error {
+export function createRpcError(code: number, message: string): Error {
   return new JSONRPCErrorException(message, code);
 }
 
@@ -199,9 +199,9 @@
  * other error.
  *
  * @example
- * link.call('take', {}).catch(error => findRefusalCode(error) === 1);
+ * link.call('take', {}).catch(error => findRpcErrorCode(error) === 1);
  */
-export function findRefusalCode(error: unknown): number | undefined {
+export function findRpcErrorCode(error: unknown): number | undefined {
   if (!(error instanceof RpcFailedError)) return undefined;
   const cause: unknown = error.cause();
   return cause instanceof JSONRPCErrorException ? cause.code : undefined;
--- a/packages/core/src/last-resort.test.ts
+++ b/packages/core/src/uncaught-errors.test.ts
@@ -1,12 +1,12 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
-import {createLastResort} from './last-resort.js';
+import {createUncaughtErrorHandler} from './uncaught-errors.js';
 
 function createHarness() {
   const lines: string[] = [];
   const exits: number[] = [];
   let drains = 0;
-  const handle = createLastResort({
+  const handle = createUncaughtErrorHandler({
     log: {error: (event, fields) => lines.push(JSON.stringify(fields))},
     drain: () => {
       drains++;
@@ -74,7 +74,7 @@
       },
     ]) {
       const status = await new Promise<number>(resolve =>
-        createLastResort({
+        createUncaughtErrorHandler({
           log: {error: () => undefined},
           drain,
           drainLimitMs: 20,
--- a/packages/core/src/last-resort.ts
+++ b/packages/core/src/uncaught-errors.ts
@@ -49,9 +49,9 @@
  * exits, to be restarted.
  *
  * @example
- * observeUncaught(createLastResort(options));
+ * handleUncaughtErrors(createUncaughtErrorHandler(options));
  */
-export function createLastResort(
+export function createUncaughtErrorHandler(
   options: UncaughtErrorHandlerOptions,
 ): (error: unknown) => void {
   const {log} = options;
@@ -76,9 +76,9 @@
  * stdout and stderr, such as a closed pipe, are ignored.
  *
  * @example
- * observeUncaught(createLastResort({log, drain, drainLimitMs, exit}));
+ * handleUncaughtErrors(createUncaughtErrorHandler({log, drain, drainLimitMs, exit}));
  */
-export function observeUncaught(handle: (error: unknown) => void): void {
+export function handleUncaughtErrors(handle: (error: unknown) => void): void {
   process.on('uncaughtException', handle);
   process.on('unhandledRejection', handle);
   process.stdout.on('error', () => undefined);
--- a/packages/direct/src/errors.ts
+++ b/packages/direct/src/errors.ts
@@ -64,7 +64,7 @@
   }
 
   /** Whether the failure indicates a fault of the target. */
-  get isByTarget(): boolean {
+  get isTargetFault(): boolean {
     return this.fault !== 'cancelled' && this.fault !== 'unwritable';
   }
 }
--- a/packages/direct/src/fleet/fleet-state.test.ts
+++ b/packages/direct/src/fleet/fleet-state.test.ts
@@ -1,7 +1,7 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {buildPosition, buildTarget} from '../test/build-target.js';
-import {buildConfig} from '../test/gate-world.js';
+import {buildConfig} from '../test/gate-harness.js';
 import {createFleetState} from './fleet-state.js';
 import {HOLD_AFTER_OUTAGE_MS} from './target-table.js';
 import type {Target} from '../types.js';
--- a/packages/direct/src/fleet/fleet-state.ts
+++ b/packages/direct/src/fleet/fleet-state.ts
@@ -14,7 +14,7 @@
 import type {FactChange, FactSnapshot} from '../ports.js';
 import type {
   ClientAccount,
-  EngineFigures,
+  EngineCostModel,
   FleetConfig,
   ServiceConfig,
   Target,
@@ -140,7 +140,7 @@
   }
 
   /** Finds the cost model of an engine by its incarnation id. */
-  findEngine(id: string): EngineFigures | undefined {
+  findEngine(id: string): EngineCostModel | undefined {
     const service = this.table.findService(id);
     return service === undefined
       ? undefined
--- a/packages/direct/src/fleet/store-watcher.test.ts
+++ b/packages/direct/src/fleet/store-watcher.test.ts
@@ -3,8 +3,8 @@
 import {expect} from 'earl';
 import {createDecisionLog} from '../observe/decision-log.js';
 import {FakeStore} from '../test/fake-store.js';
-import {answerWhole} from '../test/fake-target.js';
-import {buildConfig, openGateWorld} from '../test/gate-world.js';
+import {answerCompletely} from '../test/fake-target.js';
+import {buildConfig, openGateHarness} from '../test/gate-harness.js';
 import {NO_POSITION} from './fact-position.js';
 import {createFleetState} from './fleet-state.js';
 import {createStoreWatcher} from './store-watcher.js';
@@ -13,9 +13,9 @@
   it('reads a full snapshot again after the store has dropped its history', async () => {
     // Guards against losing changes that the store has dropped from its
     // history during an outage.
-    const harness = await openGateWorld();
+    const harness = await openGateHarness();
     try {
-      await harness.addTarget('t1', 'orders', answerWhole);
+      await harness.addTarget('t1', 'orders', answerCompletely);
       await harness.waitUntil(async () => (await harness.askReady()) === 200);
       harness.store.isDown = true;
       harness.store.publishConfig(
@@ -73,9 +73,9 @@
   });
 
   it('lets a gate stay ready and serve known targets while the store is down', async () => {
-    const harness = await openGateWorld();
+    const harness = await openGateHarness();
     try {
-      await harness.addTarget('t1', 'orders', answerWhole);
+      await harness.addTarget('t1', 'orders', answerCompletely);
       await harness.waitUntil(async () => (await harness.askReady()) === 200);
       harness.store.isDown = true;
       expect((await harness.call('/safe/x')).status).toEqual(200);
@@ -86,7 +86,7 @@
   });
 
   it('makes a gate answer 503 instead of 401 or 404 before the first configuration is known', async () => {
-    const harness = await openGateWorld({config: 'none'});
+    const harness = await openGateHarness({config: 'none'});
     try {
       expect(await harness.askReady()).toEqual(503);
       const answer = await harness.call('/safe/x', {key: 'unknown'});
--- a/packages/direct/src/forward/call-forwarder.test.ts
+++ b/packages/direct/src/forward/call-forwarder.test.ts
@@ -2,12 +2,12 @@
 import {expect} from 'earl';
 import {
   answerNotRun,
-  answerWhole,
+  answerCompletely,
   buildSignedHead,
 } from '../test/fake-target.js';
-import {buildConfig, openGateWorld} from '../test/gate-world.js';
+import {buildConfig, openGateHarness} from '../test/gate-harness.js';
 import type {TargetScript} from '../test/fake-target.js';
-import type {GateWorld} from '../test/gate-world.js';
+import type {GateHarness} from '../test/gate-harness.js';
 
 const dropConnection: TargetScript = req => req.socket.destroy();
 
@@ -15,9 +15,12 @@
 async function checkWithTargets(
   a: TargetScript,
   b: TargetScript,
-  check: (harness: GateWorld, counts: () => readonly number[]) => Promise<void>,
+  check: (
+    harness: GateHarness,
+    counts: () => readonly number[],
+  ) => Promise<void>,
 ): Promise<void> {
-  const harness = await openGateWorld();
+  const harness = await openGateHarness();
   try {
     const first = await harness.addTarget('a', 'orders', a);
     const second = await harness.addTarget('b', 'orders', b);
@@ -28,7 +31,7 @@
   }
 }
 
-function isListed(harness: GateWorld, count: number): boolean {
+function isListed(harness: GateHarness, count: number): boolean {
   return (
     harness.lines.filter(line => line.includes('"target_added"')).length ===
     count
@@ -133,7 +136,7 @@
     const hang: TargetScript = () => undefined;
     let isFirst = true;
     const hangOnce: TargetScript = (req, res) => {
-      if (!isFirst) return answerWhole(req, res);
+      if (!isFirst) return answerCompletely(req, res);
       isFirst = false;
       hang(req, res);
     };
@@ -157,11 +160,11 @@
 
   it('sends a call to another target if the first one accepts no connection', async () => {
     // Guards against the failure of a call that a dead target never received.
-    const harness = await openGateWorld();
+    const harness = await openGateHarness();
     try {
-      const dead = await harness.addTarget('dead', 'orders', answerWhole);
+      const dead = await harness.addTarget('dead', 'orders', answerCompletely);
       dead.close();
-      await harness.addTarget('alive', 'orders', answerWhole);
+      await harness.addTarget('alive', 'orders', answerCompletely);
       await harness.waitUntil(() => isListed(harness, 2));
       for (let i = 0; i < 6; i++) {
         const answer = await harness.call('/unsafe/order', {method: 'POST'});
@@ -173,9 +176,9 @@
   });
 
   it('forwards the account and the remaining time to the target, but not the API key', async () => {
-    const harness = await openGateWorld();
+    const harness = await openGateHarness();
     try {
-      const target = await harness.addTarget('t', 'orders', answerWhole);
+      const target = await harness.addTarget('t', 'orders', answerCompletely);
       await harness.waitUntil(() => isListed(harness, 1));
       await harness.call('/safe/x');
       expect(target.heads[0]['x-test-account']).toEqual('acme');
@@ -189,7 +192,7 @@
   it('refuses a request with header values that Node.js rejects and keeps serving', async () => {
     // Guards against a header value that Node.js rejects and that terminates
     // the gate.
-    const harness = await openGateWorld({
+    const harness = await openGateHarness({
       config: buildConfig(1, {
         accounts: [
           {name: 'acme', keys: ['k1']},
@@ -198,8 +201,8 @@
       }),
     });
     try {
-      const target = await harness.addTarget('t', 'orders', answerWhole);
-      const engine = await harness.addTarget('e', 'chat', answerWhole);
+      const target = await harness.addTarget('t', 'orders', answerCompletely);
+      const engine = await harness.addTarget('e', 'chat', answerCompletely);
       await harness.waitUntil(() => isListed(harness, 2));
       for (const path of ['/safe/x', '/unsafe/x', '/stream/x']) {
         const {status} = await harness.call(path, {key: 'k2', tokens: 10});
@@ -227,7 +230,7 @@
       async harness => {
         expect((await harness.call('/unsafe/x')).status).toEqual(502);
         expect((await harness.call('/safe/x')).status).toEqual(502);
-        harness.setScripts(answerWhole);
+        harness.setScripts(answerCompletely);
         expect((await harness.call('/safe/x')).status).toEqual(200);
       },
     );
--- a/packages/direct/src/forward/call-forwarder.ts
+++ b/packages/direct/src/forward/call-forwarder.ts
@@ -83,7 +83,7 @@
 
   private async runAttempt(target: Target, why: string): Promise<void> {
     const {context, request} = this;
-    context.calls.enter(target.id);
+    context.calls.recordStart(target.id);
     const exchange = context.exchanges.open({
       target,
       method: request.method,
@@ -104,7 +104,7 @@
       result = await this.readResult(exchange);
     } finally {
       this.open.delete(exchange);
-      context.calls.leave(target.id);
+      context.calls.recordEnd(target.id);
     }
     if (this.isSettled) return;
     this.recordHealth(target, result);
@@ -148,7 +148,7 @@
     if (result.kind === 'answer') health.recordSuccess(target.id);
     else if (result.kind !== 'failed')
       health.recordFailure(target.id, readNow(), false);
-    else if (result.error.isByTarget)
+    else if (result.error.isTargetFault)
       health.recordFailure(target.id, readNow(), !result.error.wasSent);
   }
 
--- a/packages/direct/src/forward/judge-answer.ts
+++ b/packages/direct/src/forward/judge-answer.ts
@@ -1,6 +1,6 @@
 /** Classifies the heads of targets' responses. */
 import type {HeaderDialect} from '../ports.js';
-import type {AnswerFacts} from '../types.js';
+import type {AnswerMetadata} from '../types.js';
 import type {ResponseHead} from './exchange.js';
 
 /** Classification of a response head. */
@@ -24,7 +24,7 @@
  */
 export function judgeHead(
   head: ResponseHead,
-  facts: AnswerFacts,
+  facts: AnswerMetadata,
   requestId: string | undefined,
 ): HeadVerdict {
   const {status, message} = head;
@@ -48,7 +48,7 @@
   head: ResponseHead,
   dialect: HeaderDialect,
   requestId: string | undefined,
-): {readonly verdict: HeadVerdict; readonly facts: AnswerFacts} {
+): {readonly verdict: HeadVerdict; readonly facts: AnswerMetadata} {
   const facts = dialect.parseAnswer(head.message.headers);
   return {verdict: judgeHead(head, facts, requestId), facts};
 }
--- a/packages/direct/src/forward/kv-lease.test.ts
+++ b/packages/direct/src/forward/kv-lease.test.ts
@@ -7,8 +7,8 @@
 import {
   FakeReservations,
   buildConfig,
-  openGateWorld,
-} from '../test/gate-world.js';
+  openGateHarness,
+} from '../test/gate-harness.js';
 import {openKvLease} from './kv-lease.js';
 import type {ReservationOutcome} from '../ports.js';
 import type {TargetScript} from '../test/fake-target.js';
@@ -165,7 +165,7 @@
     const hang: TargetScript = () => undefined;
     const base = buildConfig(1);
     const routes = base.routes.map(route => ({...route, timeoutMs: 30_000}));
-    const harness = await openGateWorld({config: {...base, routes}});
+    const harness = await openGateHarness({config: {...base, routes}});
     try {
       for (const name of ['e0', 'e1', 'e2'])
         await harness.addTarget(name, 'chat', hang);
@@ -177,7 +177,7 @@
       const call = harness.call('/stream/x', {
         tokens: 330_000,
         deadlineMs: 30_000,
-        leaveAfterMs: 3000,
+        disconnectAfterMs: 3000,
       });
       const {reservedAt} = harness.reservations;
       await harness.waitUntil(() => reservedAt.length > 0);
@@ -203,7 +203,7 @@
     };
     const base = buildConfig(1);
     const routes = base.routes.map(route => ({...route, timeoutMs: 30_000}));
-    const harness = await openGateWorld({config: {...base, routes}});
+    const harness = await openGateHarness({config: {...base, routes}});
     try {
       const engines = await Promise.all(
         ['e0', 'e1', 'e2', 'e3'].map(id =>
--- a/packages/direct/src/forward/late-errors.test.ts
+++ b/packages/direct/src/forward/late-errors.test.ts
@@ -5,10 +5,10 @@
 import {expect} from 'earl';
 import fc from 'fast-check';
 import {buildSignedHead, formatEvents} from '../test/fake-target.js';
-import {openGateWorld} from '../test/gate-world.js';
+import {openGateHarness} from '../test/gate-harness.js';
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Socket} from 'node:net';
-import type {GateWorld} from '../test/gate-world.js';
+import type {GateHarness} from '../test/gate-harness.js';
 
 /** Points at which the target resets its connection. */
 const TARGET_RESET_POINTS = [
@@ -124,7 +124,7 @@
  * when the connection is closed.
  */
 function runCaller(
-  harness: GateWorld,
+  harness: GateHarness,
   id: string,
   plan: RequestPlan,
 ): Promise<void> {
@@ -186,7 +186,7 @@
   };
   private resetsLeft = 0;
 
-  constructor(readonly harness: GateWorld) {}
+  constructor(readonly harness: GateHarness) {}
 
   async start(): Promise<void> {
     const script = (req: IncomingMessage, res: ServerResponse) => {
@@ -279,7 +279,7 @@
 describe('gate with connection errors at arbitrary times', () => {
   let injector: ErrorInjector;
   before(async () => {
-    injector = new ErrorInjector(await openGateWorld());
+    injector = new ErrorInjector(await openGateHarness());
     await injector.start();
   });
   after(() => injector.stop());
--- a/packages/direct/src/forward/request.ts
+++ b/packages/direct/src/forward/request.ts
@@ -1,6 +1,6 @@
 /** Request type that is passed from the ingress to the forwarders. */
 import type {CallerResponse} from './caller-response.js';
-import type {RawHeaders, RequestFacts, Route} from '../types.js';
+import type {RawHeaders, RequestMetadata, Route} from '../types.js';
 
 /** Request that has passed the checks of the ingress. */
 export interface GateRequest {
@@ -9,7 +9,7 @@
   readonly path: string;
   readonly headers: RawHeaders;
   readonly body: Buffer;
-  readonly facts: RequestFacts;
+  readonly facts: RequestMetadata;
   readonly route: Route;
   /** Service chosen from the traffic splits of the route. */
   readonly service: string;
--- a/packages/direct/src/forward/slot-finder.ts
+++ b/packages/direct/src/forward/slot-finder.ts
@@ -5,7 +5,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {PlacedPrompt} from '../placement/prompt-placer.js';
 import type {Deferral, PlacementOutcome} from '../placement/prompt-placer.js';
-import type {EngineFigures} from '../types.js';
+import type {EngineCostModel} from '../types.js';
 import type {ForwardContext} from './context.js';
 import type {GateRequest} from './request.js';
 
@@ -36,22 +36,22 @@
   constructor(
     private readonly context: ForwardContext,
     private readonly request: GateRequest,
-    private readonly engine: EngineFigures,
+    private readonly engine: EngineCostModel,
     private readonly tried: ReadonlySet<string>,
   ) {}
 
   /**
    * Finds engines for the next attempt.
    *
-   * @param mayOverfill - True to use an engine even if all its slots are taken.
+   * @param mayExceedSlots - True to use an engine even if all its slots are taken.
    * @param signal - Aborted when no engine is needed any more; a slot that was
    *   found by then is released.
    */
   async findSlot(
-    mayOverfill: boolean,
+    mayExceedSlots: boolean,
     signal: AbortSignal,
   ): Promise<PlacedPrompt | NoSlotReason> {
-    let result = await this.waitForSendTime(mayOverfill, signal);
+    let result = await this.waitForSendTime(mayExceedSlots, signal);
     if (result === 'full') result = await this.waitForSlot(signal);
     if (!signal.aborted) return result;
     if (result instanceof PlacedPrompt) result.release();
@@ -63,11 +63,11 @@
    * gains.
    */
   private async waitForSendTime(
-    mayOverfill: boolean,
+    mayExceedSlots: boolean,
     signal: AbortSignal,
   ): Promise<PlacedPrompt | NoSlotReason> {
     for (;;) {
-      const result = this.tryPlace(mayOverfill);
+      const result = this.tryPlace(mayExceedSlots);
       if (!isDeferral(result)) return result;
       this.recordDeferral(result);
       await sleep(Math.min(result.waitMs, REEVALUATE_MS));
@@ -75,7 +75,7 @@
     }
   }
 
-  private tryPlace(mayOverfill: boolean): PlacementOutcome {
+  private tryPlace(mayExceedSlots: boolean): PlacementOutcome {
     const {context, request} = this;
     const {route, facts} = request;
     const elapsedMs = context.readNow() - request.arrivedAt;
@@ -90,7 +90,7 @@
       },
       this.engine,
       this.tried,
-      mayOverfill,
+      mayExceedSlots,
     );
   }
 
--- a/packages/direct/src/forward/stalled-stream.test.ts
+++ b/packages/direct/src/forward/stalled-stream.test.ts
@@ -5,9 +5,9 @@
   buildSignedHead,
   formatEvents,
 } from '../test/fake-target.js';
-import {buildConfig, openGateWorld} from '../test/gate-world.js';
+import {buildConfig, openGateHarness} from '../test/gate-harness.js';
 import type {TargetScript} from '../test/fake-target.js';
-import type {CallerAnswer, GateWorld} from '../test/gate-world.js';
+import type {ReceivedResponse, GateHarness} from '../test/gate-harness.js';
 
 /** Number of events in a complete stream. */
 const EVENT_COUNT = 6;
@@ -46,10 +46,10 @@
 async function openTwoEngines(
   first: TargetScript,
   second: TargetScript,
-): Promise<GateWorld> {
+): Promise<GateHarness> {
   const base = buildConfig(1);
   const routes = base.routes.map(route => ({...route, timeoutMs: TIMEOUT_MS}));
-  const harness = await openGateWorld({config: {...base, routes}});
+  const harness = await openGateHarness({config: {...base, routes}});
   let arrivals = 0;
   const script: TargetScript = (req, res) =>
     ++arrivals === 1 ? first(req, res) : second(req, res);
@@ -66,7 +66,7 @@
 async function callPausedStream(
   sent: number,
   second: TargetScript,
-): Promise<CallerAnswer> {
+): Promise<ReceivedResponse> {
   const harness = await openTwoEngines(streamWithPauseAfter(sent), second);
   try {
     return await harness.call('/stream/x', {tokens: 1000});
--- a/packages/direct/src/forward/stream-attempt.ts
+++ b/packages/direct/src/forward/stream-attempt.ts
@@ -14,7 +14,7 @@
   chooseTtftTimeoutMs,
 } from './stall-timer.js';
 import type {PlacedPrompt} from '../placement/prompt-placer.js';
-import type {EngineFigures} from '../types.js';
+import type {EngineCostModel} from '../types.js';
 import type {ForwardContext} from './context.js';
 import type {ResponseHead, Exchange} from './exchange.js';
 import type {KvLease, LivenessCheck} from './kv-lease.js';
@@ -56,7 +56,7 @@
 export interface StreamAttemptOptions {
   readonly context: ForwardContext;
   readonly request: GateRequest;
-  readonly engine: EngineFigures;
+  readonly engine: EngineCostModel;
   readonly placed: PlacedPrompt;
   readonly progress: StreamProgress;
   /** Unique name of the attempt, used as the ticket of its reservations. */
@@ -130,7 +130,7 @@
     const {target} = this.options.placed;
     return {
       isActive: () =>
-        health.isHeardSince(target.id, readNow() - ACTIVITY_WINDOW_MS),
+        health.isActiveSince(target.id, readNow() - ACTIVITY_WINDOW_MS),
       ask: async () => (await reports.read(target)) !== undefined,
     };
   }
@@ -198,7 +198,7 @@
     if (placed.isPrefilling()) return 'wait';
     const others = new Set([placed.target.id]);
     if (!prompts.isSlotFree(request.service, engine, others)) return 'wait';
-    if (health.isHeardSince(placed.target.id, readNow() - LIVENESS_WINDOW_MS))
+    if (health.isActiveSince(placed.target.id, readNow() - LIVENESS_WINDOW_MS))
       return 'wait';
     startBackup();
     return 'wait';
@@ -256,11 +256,11 @@
       const events = splitter.push(bytes);
       if (events.length === 0) continue;
       this.claimResponse();
-      if (isFirst) placed.markBegun();
+      if (isFirst) placed.markFirstToken();
       isFirst = false;
       stallTimer.restart(stallMs);
       const now = context.readNow();
-      context.health.markHeard(placed.target.id, now);
+      context.health.markActive(placed.target.id, now);
       for (const event of events) {
         caller.write(event.bytes);
         const ttftMs = progress.recordEvent(event.id, now);
--- a/packages/direct/src/forward/stream-forwarder.test.ts
+++ b/packages/direct/src/forward/stream-forwarder.test.ts
@@ -5,10 +5,10 @@
   buildSignedHead,
   formatEvents,
 } from '../test/fake-target.js';
-import {ENGINE, buildConfig, openGateWorld} from '../test/gate-world.js';
+import {ENGINE, buildConfig, openGateHarness} from '../test/gate-harness.js';
 import type {RetryBounds} from '../retry/shared-retry-budget.js';
 import type {TargetScript} from '../test/fake-target.js';
-import type {GateWorld} from '../test/gate-world.js';
+import type {GateHarness} from '../test/gate-harness.js';
 
 /** Streams all events after the last one that the caller received. */
 const streamComplete: TargetScript = (req, res) => {
@@ -26,7 +26,7 @@
   timeoutMs = 5000,
   slots = ENGINE.slots,
   retryBounds?: RetryBounds,
-): Promise<GateWorld> {
+): Promise<GateHarness> {
   const base = buildConfig(1);
   const services = base.services.map(service => ({
     ...service,
@@ -37,7 +37,7 @@
     timeoutMs,
     isResumable: route.kind === 'stream' && isResumable,
   }));
-  const harness = await openGateWorld({
+  const harness = await openGateHarness({
     config: {...base, routes, services},
     retryBounds,
   });
@@ -65,7 +65,7 @@
 }
 
 /** Counts the attempts of all requests. */
-function countAttempts({lines}: GateWorld): number {
+function countAttempts({lines}: GateHarness): number {
   return lines.filter(line => line.includes('"stream_placed"')).length;
 }
 
@@ -368,7 +368,7 @@
     };
     const harness = await openStreams([hang]);
     try {
-      await harness.call('/stream/x', {tokens: 1000, leaveAfterMs: 60});
+      await harness.call('/stream/x', {tokens: 1000, disconnectAfterMs: 60});
       await harness.waitUntil(() => isClosed);
     } finally {
       harness.close();
@@ -380,7 +380,10 @@
     const hang: TargetScript = () => undefined;
     const harness = await openStreams([hang, hang, hang]);
     try {
-      const call = harness.call('/stream/x', {tokens: 1000, leaveAfterMs: 400});
+      const call = harness.call('/stream/x', {
+        tokens: 1000,
+        disconnectAfterMs: 400,
+      });
       // Blocks the event loop, so that the disconnect and the stall timeout are
       // handled in the same turn.
       setTimeout(() => {
--- a/packages/direct/src/forward/stream-forwarder.ts
+++ b/packages/direct/src/forward/stream-forwarder.ts
@@ -10,7 +10,7 @@
 import {StreamAttempt} from './stream-attempt.js';
 import {StreamProgress} from './stream-progress.js';
 import {StreamRecord} from './stream-record.js';
-import type {EngineFigures, Target} from '../types.js';
+import type {EngineCostModel, Target} from '../types.js';
 import type {ForwardContext} from './context.js';
 import type {GateRequest} from './request.js';
 import type {AttemptEnd} from './stream-attempt.js';
@@ -54,7 +54,7 @@
   constructor(
     private readonly context: ForwardContext,
     private readonly request: GateRequest,
-    private readonly engine: EngineFigures,
+    private readonly engine: EngineCostModel,
   ) {
     this.progress = new StreamProgress(request.arrivedAt, request.lastEventId);
     this.record = new StreamRecord(context, request, this.progress);
@@ -104,8 +104,8 @@
       return undefined;
     }
     // A stream that has already been attempted skips the admission queue.
-    const mayOverfill = this.sentAttempts > 0 || this.unsentAttempts > 0;
-    const result = await this.finder.findSlot(mayOverfill, chain.signal);
+    const mayExceedSlots = this.sentAttempts > 0 || this.unsentAttempts > 0;
+    const result = await this.finder.findSlot(mayExceedSlots, chain.signal);
     if (result instanceof PlacedPrompt)
       return this.checkDeadline(chain, result);
     if (result === 'none') this.giveUp(chain, 'no_target');
@@ -268,7 +268,7 @@
     const faultyTarget = helper ?? placed.target;
     const isUnsent = end.kind === 'failed' && !end.error.wasSent;
     this.tried.add(faultyTarget.id);
-    if (end.kind === 'failed' && !end.error.isByTarget) return;
+    if (end.kind === 'failed' && !end.error.isTargetFault) return;
     health.recordFailure(
       faultyTarget.id,
       readNow(),
@@ -371,7 +371,7 @@
 export function forwardStream(
   context: ForwardContext,
   request: GateRequest,
-  engine: EngineFigures,
+  engine: EngineCostModel,
 ): void {
   context.budget.recordRequest(request.service, context.readNow());
   new StreamRun(context, request, engine).run();
--- a/packages/direct/src/gate.test.ts
+++ b/packages/direct/src/gate.test.ts
@@ -3,8 +3,8 @@
 import {expect} from 'earl';
 import {buildLoopbackHost} from '@nutmeggauge/core';
 import {HOLD_AFTER_OUTAGE_MS} from './fleet/target-table.js';
-import {answerWhole} from './test/fake-target.js';
-import {buildConfig, openGateWorld} from './test/gate-world.js';
+import {answerCompletely} from './test/fake-target.js';
+import {buildConfig, openGateHarness} from './test/gate-harness.js';
 import type {TargetScript} from './test/fake-target.js';
 
 /** Time until a stopping gate of these tests refuses new requests, in ms. */
@@ -22,10 +22,10 @@
 describe('direct gate', () => {
   it('fails readiness at once when a drain starts, and still serves open and newly arriving requests', async () => {
     // Guards against requests that fail during a rolling restart of the gates.
-    const harness = await openGateWorld();
+    const harness = await openGateHarness();
     try {
       const answerSlowly: TargetScript = (req, res) =>
-        void setTimeout(() => answerWhole(req, res), 400);
+        void setTimeout(() => answerCompletely(req, res), 400);
       await harness.addTarget('t', 'orders', answerSlowly);
       await harness.waitUntil(async () => (await harness.askReady()) === 200);
       const running = harness.call('/unsafe/order', {method: 'POST'});
@@ -47,10 +47,10 @@
   it('refuses requests late in a drain with 503 and Retry-After, and finishes open ones', async () => {
     // Guards against accepting requests that cannot finish before the process
     // is killed.
-    const harness = await openGateWorld();
+    const harness = await openGateHarness();
     try {
       const answerSlowly: TargetScript = (req, res) =>
-        void setTimeout(() => answerWhole(req, res), 700);
+        void setTimeout(() => answerCompletely(req, res), 700);
       await harness.addTarget('t', 'orders', answerSlowly);
       await harness.waitUntil(async () => (await harness.askReady()) === 200);
       const drained = harness.gate.drain();
@@ -73,9 +73,9 @@
   it('answers 503 to a request that is still unread when the gate stops accepting requests', async () => {
     // Guards against resetting connections with an unread request during a
     // drain.
-    const harness = await openGateWorld();
+    const harness = await openGateHarness();
     try {
-      await harness.addTarget('t', 'orders', answerWhole);
+      await harness.addTarget('t', 'orders', answerCompletely);
       await harness.waitUntil(async () => (await harness.askReady()) === 200);
       const request =
         'GET /safe/x HTTP/1.1\r\nHost: site\r\nx-test-key: k1\r\n' +
@@ -114,15 +114,16 @@
     // store.
     const port = 22_000;
     const hosts = [buildLoopbackHost(0), buildLoopbackHost(1)];
-    const one = await openGateWorld({host: hosts[0], port});
-    const two = await openGateWorld({
+    const one = await openGateHarness({host: hosts[0], port});
+    const two = await openGateHarness({
       host: hosts[1],
       port,
       seedHosts: [hosts[0]],
     });
     try {
-      await one.addTarget('t', 'orders', answerWhole);
-      const entry = (await two.addTarget('t2', 'orders', answerWhole)).entry;
+      await one.addTarget('t', 'orders', answerCompletely);
+      const entry = (await two.addTarget('t2', 'orders', answerCompletely))
+        .entry;
       one.store.publishTarget(entry);
       await two.waitUntil(async () => (await two.askReady()) === 200);
       two.store.isDown = true;
@@ -145,20 +146,20 @@
     const port = 22_200;
     const hosts = [buildLoopbackHost(4), buildLoopbackHost(5)];
     const [one, two] = await Promise.all([
-      openGateWorld({host: hosts[0], port}),
-      openGateWorld({host: hosts[1], port, seedHosts: [hosts[0]]}),
+      openGateHarness({host: hosts[0], port}),
+      openGateHarness({host: hosts[1], port, seedHosts: [hosts[0]]}),
     ]);
     const isLogged = (event: string) =>
       two.lines.some(line => line.includes(event) && line.includes('"t"'));
     try {
       // Both stores publish the same changes.
-      const leaving = await one.addTarget('t', 'orders', answerWhole);
+      const leaving = await one.addTarget('t', 'orders', answerCompletely);
       two.store.publishTarget(leaving.entry);
       // Waits until no target could be held from an earlier outage.
       await new Promise(resolve =>
         setTimeout(resolve, HOLD_AFTER_OUTAGE_MS + 100),
       );
-      const staying = await two.addTarget('t2', 'orders', answerWhole);
+      const staying = await two.addTarget('t2', 'orders', answerCompletely);
       one.store.publishTarget(staying.entry);
       await two.waitUntil(
         async () => (await two.readGauge('targets_known')) === 2,
@@ -186,10 +187,10 @@
     // Guards against a restarted gate that waits for a store which is down.
     const port = 22_100;
     const hosts = [buildLoopbackHost(2), buildLoopbackHost(3)];
-    const one = await openGateWorld({host: hosts[0], port});
-    await one.addTarget('t', 'orders', answerWhole);
+    const one = await openGateHarness({host: hosts[0], port});
+    await one.addTarget('t', 'orders', answerCompletely);
     await one.waitUntil(async () => (await one.askReady()) === 200);
-    const two = await openGateWorld({
+    const two = await openGateHarness({
       host: hosts[1],
       port,
       seedHosts: [hosts[0]],
@@ -206,9 +207,9 @@
   });
 
   it('serves its metrics as text over HTTP', async () => {
-    const harness = await openGateWorld();
+    const harness = await openGateHarness();
     try {
-      await harness.addTarget('t', 'orders', answerWhole);
+      await harness.addTarget('t', 'orders', answerCompletely);
       await harness.waitUntil(async () => (await harness.askReady()) === 200);
       await harness.call('/safe/x');
       const figures = await fetch(
--- a/packages/direct/src/gate.ts
+++ b/packages/direct/src/gate.ts
@@ -118,7 +118,7 @@
       reports: dependencies.reports,
       // Polling has a cost, so engines are polled only while streams are open.
       listEngines: () => (tracker.isEmpty ? [] : state.listEngines()),
-      isMine: ({id}) =>
+      isAssigned: ({id}) =>
         findHome(this.peers.listGates(), id) === settings.peers.host,
       onSlowdown: ({target, slowdown}) =>
         tracker.setSlowdown(target, slowdown, readNow()),
@@ -231,7 +231,7 @@
     const giveUpAt =
       startedAt + this.settings.stopGraceMs - DRAIN_EXIT_RESERVE_MS;
     await sleep(Math.min(DRAIN_NOTICE_MS, this.settings.stopGraceMs / 2));
-    await this.ingress.stopTaking();
+    await this.ingress.stopAccepting();
     await this.waitForOpenRequests(giveUpAt);
     await this.ingress.closeIdle();
     // Waits for the requests that were read before idle connections were closed.
--- a/packages/direct/src/health/engine-slowdowns.test.ts
+++ b/packages/direct/src/health/engine-slowdowns.test.ts
@@ -15,7 +15,7 @@
   const slowdowns = new EngineSlowdowns({
     reports,
     listEngines: () => ['e1', 'e2', 'e3'].map(id => buildTarget(id, 1)),
-    isMine: ({id}) => assignedIds.includes(id),
+    isAssigned: ({id}) => assignedIds.includes(id),
     onSlowdown: slowdown => told.push(slowdown),
     log: createDecisionLog({proc: 'g', output, readWallMs: () => now}),
     readNow: () => now,
@@ -38,7 +38,7 @@
     await runFor(1000);
     await runFor(1000);
     expect(slowdowns.read('e1')).toEqual(3.4);
-    expect(slowdowns.listMine()).toEqual([{target: 'e1', slowdown: 3.4}]);
+    expect(slowdowns.listAssigned()).toEqual([{target: 'e1', slowdown: 3.4}]);
     reports.slowdowns.set('e1', 1.02);
     await runFor(1000);
     expect(told).toEqual([
@@ -50,7 +50,7 @@
   it('polls only the engines that are assigned to this gate', async () => {
     const {reports, runFor} = createSlowdowns(['e2']);
     await runFor(1000);
-    expect(reports.asked).toEqual(['e2']);
+    expect(reports.polled).toEqual(['e2']);
   });
 
   it('resets a slowdown to 1 when no further report confirms it', async () => {
--- a/packages/direct/src/health/engine-slowdowns.ts
+++ b/packages/direct/src/health/engine-slowdowns.ts
@@ -32,7 +32,7 @@
   /** Lists the engines that may receive work; empty while there is no work. */
   readonly listEngines: () => readonly Target[];
   /** Checks whether this gate is the one that polls a target. */
-  readonly isMine: (target: Target) => boolean;
+  readonly isAssigned: (target: Target) => boolean;
   /** Called when the slowdown of an engine changes. */
   readonly onSlowdown: (slowdown: EngineSlowdown) => void;
   readonly log: DecisionLog;
@@ -73,14 +73,14 @@
   }
 
   /** Lists the slow engines that this gate polls, to be sent to its peers. */
-  listMine(): readonly EngineSlowdown[] {
+  listAssigned(): readonly EngineSlowdown[] {
     // Skips the filter below: finding the gate that polls an engine computes
     // one hash per gate.
     if (this.reportByTarget.size === 0) return [];
     return this.options
       .listEngines()
       .filter(({id}) => this.reportByTarget.has(id))
-      .filter(target => this.options.isMine(target))
+      .filter(target => this.options.isAssigned(target))
       .map(({id}) => ({target: id, slowdown: this.read(id)}));
   }
 
@@ -104,7 +104,7 @@
   askAssignedEngines(): void {
     this.dropExpired();
     for (const target of this.options.listEngines())
-      if (this.options.isMine(target)) void this.askEngine(target);
+      if (this.options.isAssigned(target)) void this.askEngine(target);
   }
 
   private async askEngine(target: Target): Promise<void> {
--- a/packages/direct/src/health/target-health.ts
+++ b/packages/direct/src/health/target-health.ts
@@ -62,7 +62,7 @@
   }
 
   /** Records that bytes of an answer were received from a target. */
-  markHeard(id: string, now: number): void {
+  markActive(id: string, now: number): void {
     this.lastBytesAt.set(id, now);
   }
 
@@ -70,7 +70,7 @@
    * Checks whether a target has sent bytes of any answer after `since`. Such a
    * target is busy rather than failed, and a retry would only add load.
    */
-  isHeardSince(id: string, since: number): boolean {
+  isActiveSince(id: string, since: number): boolean {
     return (this.lastBytesAt.get(id) ?? -Infinity) > since;
   }
 
--- a/packages/direct/src/ingress/ingress.test.ts
+++ b/packages/direct/src/ingress/ingress.test.ts
@@ -1,17 +1,17 @@
 import {describe, it} from 'node:test';
 import {connect} from 'node:net';
 import {expect} from 'earl';
-import {answerWhole} from '../test/fake-target.js';
-import {buildConfig, openGateWorld} from '../test/gate-world.js';
+import {answerCompletely} from '../test/fake-target.js';
+import {buildConfig, openGateHarness} from '../test/gate-harness.js';
 import type {TargetScript} from '../test/fake-target.js';
-import type {GateWorld} from '../test/gate-world.js';
+import type {GateHarness} from '../test/gate-harness.js';
 
 async function checkWithGate(
-  check: (harness: GateWorld) => Promise<void>,
+  check: (harness: GateHarness) => Promise<void>,
 ): Promise<void> {
-  const harness = await openGateWorld();
+  const harness = await openGateHarness();
   try {
-    await harness.addTarget('t', 'orders', answerWhole);
+    await harness.addTarget('t', 'orders', answerCompletely);
     await harness.waitUntil(async () => (await harness.askReady()) === 200);
     await check(harness);
   } finally {
@@ -20,7 +20,7 @@
 }
 
 /** Sends raw bytes and returns all bytes received until the connection ends. */
-function sendRaw(harness: GateWorld, bytes: string): Promise<string> {
+function sendRaw(harness: GateHarness, bytes: string): Promise<string> {
   return new Promise(resolve => {
     let text = '';
     const socket = connect(harness.port, harness.host, () =>
@@ -78,7 +78,7 @@
   it('adds neither a length nor chunked encoding to a response that ends with its connection', async () => {
     // Guards against a truncated response that is forwarded with a length.
     await checkWithGate(async harness => {
-      await harness.addTarget('u', 'orders', answerWhole);
+      await harness.addTarget('u', 'orders', answerCompletely);
       const endEarly: TargetScript = req => {
         req.socket.end(
           'HTTP/1.1 200 OK\r\nx-test-signature: s\r\n' +
@@ -113,13 +113,13 @@
   it('responds with 503 on a route without a service and keeps serving', async () => {
     // Guards against a route without a service that terminates the gate.
     const {routes} = buildConfig(1);
-    const harness = await openGateWorld({
+    const harness = await openGateHarness({
       config: buildConfig(1, {
         routes: [...routes, {...routes[0], prefix: '/nowhere/', splits: []}],
       }),
     });
     try {
-      await harness.addTarget('t', 'orders', answerWhole);
+      await harness.addTarget('t', 'orders', answerCompletely);
       await harness.waitUntil(async () => (await harness.askReady()) === 200);
       const lost = await harness.call('/nowhere/x');
       expect(lost.status).toEqual(503);
--- a/packages/direct/src/ingress/ingress.ts
+++ b/packages/direct/src/ingress/ingress.ts
@@ -4,9 +4,9 @@
  */
 import {createServer} from 'node:http';
 import {
-  closeIdleWhenRead,
+  closeIdleAfterRead,
   openListener,
-  waitForReading,
+  waitForPendingReads,
 } from '@nutmeggauge/core';
 import {CallerResponse} from '../forward/caller-response.js';
 import {forwardCall} from '../forward/call-forwarder.js';
@@ -17,7 +17,7 @@
 import type {GateErrorReason} from '../forward/caller-response.js';
 import type {ForwardContext} from '../forward/context.js';
 import type {GateRequest} from '../forward/request.js';
-import type {RequestFacts, Route} from '../types.js';
+import type {RequestMetadata, Route} from '../types.js';
 
 /** Deadline of a request that specifies none, in ms after its arrival. */
 const DEFAULT_DEADLINE_MS = 60_000;
@@ -61,7 +61,7 @@
       },
       (req, res) => void this.serve(req, res),
     );
-    closeIdleWhenRead(this.server);
+    closeIdleAfterRead(this.server);
     context.state.onChange(event => {
       if (event.event === 'config_applied') this.applyLimits();
     });
@@ -81,15 +81,15 @@
    * Refuses new requests, including those on kept-alive connections, with 503
    * and a short Retry-After, and closes idle connections.
    */
-  async stopTaking(): Promise<void> {
+  async stopAccepting(): Promise<void> {
     this.isClosing = true;
-    await waitForReading(this.server);
+    await waitForPendingReads(this.server);
     this.server.closeIdleConnections();
   }
 
   /** Stops listening and closes idle connections. */
   async closeIdle(): Promise<void> {
-    await waitForReading(this.server);
+    await waitForPendingReads(this.server);
     this.server.close();
     this.server.closeIdleConnections();
   }
@@ -196,7 +196,7 @@
     caller: CallerResponse,
     status: 401 | 404,
     reason: 'unknown_key' | 'unknown_route',
-    facts: RequestFacts,
+    facts: RequestMetadata,
   ): void {
     if (this.context.readFactsAgeMs() > STALE_FACTS_MS)
       return this.refuseEarly(caller, 503, 'configuration_stale', facts);
@@ -207,7 +207,7 @@
     caller: CallerResponse,
     status: number,
     reason: GateErrorReason,
-    facts?: RequestFacts,
+    facts?: RequestMetadata,
     retryDelayMs?: number,
   ): void {
     const {log, counters, state, readFactsAgeMs} = this.context;
--- a/packages/direct/src/ingress/large-body.test.ts
+++ b/packages/direct/src/ingress/large-body.test.ts
@@ -1,8 +1,8 @@
 import {connect} from 'node:net';
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
-import {answerWhole} from '../test/fake-target.js';
-import {openGateWorld} from '../test/gate-world.js';
+import {answerCompletely} from '../test/fake-target.js';
+import {openGateHarness} from '../test/gate-harness.js';
 
 /** Length of a request body that arrives in many chunks, in bytes. */
 const BODY_BYTES = 8_000_000;
@@ -11,9 +11,9 @@
   it('is answered with 413 without a connection reset', async () => {
     // Guards against a connection reset that discards the 413 before the caller
     // reads it.
-    const harness = await openGateWorld();
+    const harness = await openGateHarness();
     try {
-      await harness.addTarget('t', 'orders', answerWhole);
+      await harness.addTarget('t', 'orders', answerCompletely);
       await harness.waitUntil(async () => (await harness.askReady()) === 200);
       let text = '';
       let hasReset = false;
--- a/packages/direct/src/peers/facts-exchange.test.ts
+++ b/packages/direct/src/peers/facts-exchange.test.ts
@@ -6,7 +6,7 @@
 import {NO_POSITION} from '../fleet/fact-position.js';
 import {createFleetState} from '../fleet/fleet-state.js';
 import {createDecisionLog} from '../observe/decision-log.js';
-import {buildLargeConfig} from '../test/gate-world.js';
+import {buildLargeConfig} from '../test/gate-harness.js';
 import {openFactsServer} from './facts-exchange.js';
 import type {AddressInfo, Server, Socket} from 'node:net';
 import type {SharedFacts} from '../fleet/fleet-state.js';
--- a/packages/direct/src/peers/facts-exchange.ts
+++ b/packages/direct/src/peers/facts-exchange.ts
@@ -5,8 +5,8 @@
 import {createServer} from 'node:net';
 import {
   createRpcLink,
-  createRpcRefusal,
-  findRefusalCode,
+  createRpcError,
+  findRpcErrorCode,
   openListener,
   openRpcLink,
 } from '@nutmeggauge/core';
@@ -89,7 +89,7 @@
       }
       if (isNewer(facts.position, known.position))
         return {...facts, config: undefined};
-      throw createRpcRefusal(BUSY_CODE, 'busy');
+      throw createRpcError(BUSY_CODE, 'busy');
     });
   });
   await openListener(server, address);
@@ -147,7 +147,7 @@
   try {
     return await link.call(READ_FACTS, known, FETCH_TIMEOUT_MS);
   } catch (error) {
-    if (findRefusalCode(error) === BUSY_CODE)
+    if (findRpcErrorCode(error) === BUSY_CODE)
       throw new FactsBusyError(
         `gate ${address} already serves its maximum number of gates`,
         error as Error,
--- a/packages/direct/src/peers/facts-fetcher.test.ts
+++ b/packages/direct/src/peers/facts-fetcher.test.ts
@@ -6,7 +6,7 @@
 import {FactsBusyError, StoreUnavailableError} from '../errors.js';
 import {createFleetState} from '../fleet/fleet-state.js';
 import {createDecisionLog} from '../observe/decision-log.js';
-import {buildConfig} from '../test/gate-world.js';
+import {buildConfig} from '../test/gate-harness.js';
 import {createFactsFetcher} from './facts-fetcher.js';
 import type {SharedFacts} from '../fleet/fleet-state.js';
 
--- a/packages/direct/src/peers/facts-guards.test.ts
+++ b/packages/direct/src/peers/facts-guards.test.ts
@@ -9,7 +9,7 @@
 import {createFleetState} from '../fleet/fleet-state.js';
 import {createDecisionLog} from '../observe/decision-log.js';
 import {buildPosition, buildTarget} from '../test/build-target.js';
-import {buildConfig} from '../test/gate-world.js';
+import {buildConfig} from '../test/gate-harness.js';
 import {fetchSharedFacts, openFactsServer} from './facts-exchange.js';
 import {createFactsFetcher} from './facts-fetcher.js';
 import type {AddressInfo, Server} from 'node:net';
--- a/packages/direct/src/peers/facts-hand-over.test.ts
+++ b/packages/direct/src/peers/facts-hand-over.test.ts
@@ -7,7 +7,7 @@
 import {createFleetState} from '../fleet/fleet-state.js';
 import {createDecisionLog} from '../observe/decision-log.js';
 import {buildPosition, buildTarget} from '../test/build-target.js';
-import {buildConfig, buildLargeConfig} from '../test/gate-world.js';
+import {buildConfig, buildLargeConfig} from '../test/gate-harness.js';
 import {fetchSharedFacts, openFactsServer} from './facts-exchange.js';
 import {createFactsFetcher} from './facts-fetcher.js';
 import type {AddressInfo, Server, Socket} from 'node:net';
--- a/packages/direct/src/peers/peer-group.test.ts
+++ b/packages/direct/src/peers/peer-group.test.ts
@@ -8,7 +8,7 @@
 import {createFleetState} from '../fleet/fleet-state.js';
 import {createDecisionLog} from '../observe/decision-log.js';
 import {createIdleSlowdowns} from '../test/fake-reports.js';
-import {ENGINE, buildConfig} from '../test/gate-world.js';
+import {ENGINE, buildConfig} from '../test/gate-harness.js';
 import {createLoadTracker} from '../placement/load-tracker.js';
 import {PeerGroup} from './peer-group.js';
 import type {FleetState} from '../fleet/fleet-state.js';
--- a/packages/direct/src/peers/peer-group.ts
+++ b/packages/direct/src/peers/peer-group.ts
@@ -192,7 +192,7 @@
     });
   }
 
-  override announceBegun(key: string): void {
+  override announceFirstToken(key: string): void {
     this.broadcast({jsonrpc: '2.0', method: 'begun', params: {key}});
   }
 
@@ -243,14 +243,14 @@
       peers: [...this.table.listHosts()],
       open: own.map(({placement}) => parsePlacementNumber(placement.key)),
       begun: own
-        .filter(({hasBegun}) => hasBegun)
+        .filter(({hasFirstToken}) => hasFirstToken)
         .map(({placement}) => parsePlacementNumber(placement.key)),
       placements: isFull
-        ? own.map(({placement, hasBegun}) =>
-            toWirePlacement(placement, hasBegun, now),
+        ? own.map(({placement, hasFirstToken}) =>
+            toWirePlacement(placement, hasFirstToken, now),
           )
         : [],
-      slowdowns: [...slowdowns.listMine()],
+      slowdowns: [...slowdowns.listAssigned()],
       wantsReply,
       leaves: this.isLeaving,
     };
@@ -266,7 +266,7 @@
     if (message.method === 'placed')
       tracker.add(toPlacement(message.params, readNow()), message.params.begun);
     if (message.method === 'begun')
-      tracker.markBegun(message.params.key, readNow());
+      tracker.markFirstToken(message.params.key, readNow());
     if (message.method === 'ended')
       tracker.remove(message.params.key, readNow());
   }
@@ -322,7 +322,7 @@
 
   private dropPlacements(host: string, incarnation: string): void {
     const {tracker, readNow} = this.options;
-    tracker.dropUnlessKept(
+    tracker.removeOwnedExcept(
       formatOwner(host, incarnation),
       new Set(),
       readNow(),
@@ -333,10 +333,11 @@
     const {tracker} = this.options;
     const owner = formatOwner(heartbeat.from, heartbeat.incarnation);
     const toKey = (number: number) => `${owner}#${number}`;
-    tracker.dropUnlessKept(owner, new Set(heartbeat.open.map(toKey)), now);
+    tracker.removeOwnedExcept(owner, new Set(heartbeat.open.map(toKey)), now);
     for (const wire of heartbeat.placements)
       tracker.add(toPlacement(wire, now), wire.begun);
-    for (const number of heartbeat.begun) tracker.markBegun(toKey(number), now);
+    for (const number of heartbeat.begun)
+      tracker.markFirstToken(toKey(number), now);
   }
 
   /** Drops a peer and its placements; a later heartbeat restores them. */
--- a/packages/direct/src/peers/shared-facts.test.ts
+++ b/packages/direct/src/peers/shared-facts.test.ts
@@ -5,7 +5,7 @@
 import {DecodeError} from '../errors.js';
 import {createFleetState} from '../fleet/fleet-state.js';
 import {buildPosition, buildTarget} from '../test/build-target.js';
-import {buildConfig} from '../test/gate-world.js';
+import {buildConfig} from '../test/gate-harness.js';
 import {decodeSharedFacts, toKnownFacts} from './shared-facts.js';
 
 const NO_FACTS_KNOWN = {configVersion: 0, position: NO_POSITION};
--- a/packages/direct/src/peers/startup-sync.test.ts
+++ b/packages/direct/src/peers/startup-sync.test.ts
@@ -5,7 +5,7 @@
 import {createFleetState} from '../fleet/fleet-state.js';
 import {createDecisionLog} from '../observe/decision-log.js';
 import {buildPosition, buildTarget} from '../test/build-target.js';
-import {buildConfig} from '../test/gate-world.js';
+import {buildConfig} from '../test/gate-harness.js';
 import {StartupSync} from './startup-sync.js';
 import type {SharedFacts} from '../fleet/fleet-state.js';
 
--- a/packages/direct/src/placement/choose-send-time.test.ts
+++ b/packages/direct/src/placement/choose-send-time.test.ts
@@ -1,7 +1,7 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import fc from 'fast-check';
-import {ENGINE} from '../test/gate-world.js';
+import {ENGINE} from '../test/gate-harness.js';
 import {chooseSendTime} from './choose-send-time.js';
 import {createLoadTracker} from './load-tracker.js';
 import {
--- a/packages/direct/src/placement/choose-send-time.ts
+++ b/packages/direct/src/placement/choose-send-time.ts
@@ -3,7 +3,7 @@
  * newest prompt first, so a prompt sent to busy engines delays earlier prompts.
  */
 import {choosePromptEngines} from './place-prompt.js';
-import type {EngineFigures} from '../types.js';
+import type {EngineCostModel} from '../types.js';
 import type {EngineLoad} from './load-tracker.js';
 import type {Candidate} from './price-prefill.js';
 import type {PromptChoice, PromptDemand} from './prompt-types.js';
@@ -55,7 +55,7 @@
 export function chooseSendTime(
   candidates: readonly Candidate[],
   demand: PromptDemand,
-  engine: EngineFigures,
+  engine: EngineCostModel,
   now: number,
 ): TimedChoice | undefined {
   const choice = choosePromptEngines(candidates, demand, engine, now);
--- a/packages/direct/src/placement/engine-iterations.ts
+++ b/packages/direct/src/placement/engine-iterations.ts
@@ -10,7 +10,7 @@
  * - The first token is sent with the iteration that completes the prefill.
  */
 import {estimateDecodeMs} from './engine-model.js';
-import type {EngineFigures} from '../types.js';
+import type {EngineCostModel} from '../types.js';
 
 /** Shard of a prompt, to be prefilled by one engine. */
 export interface ShardWork {
@@ -80,7 +80,7 @@
 
   /** @param slowdown - Factor on all configured times; 3 triples them. */
   constructor(
-    private readonly engine: EngineFigures,
+    private readonly engine: EngineCostModel,
     private slowdown = 1,
   ) {}
 
--- a/packages/direct/src/placement/engine-model.ts
+++ b/packages/direct/src/placement/engine-model.ts
@@ -1,5 +1,5 @@
 /** Cost model of one engine, parameterized by configured figures. */
-import type {EngineFigures} from '../types.js';
+import type {EngineCostModel} from '../types.js';
 
 /**
  * Estimates the prefill time of a prompt on one idle engine, in ms: a term
@@ -10,7 +10,7 @@
  */
 export function estimatePrefillMs(
   promptTokens: number,
-  engine: EngineFigures,
+  engine: EngineCostModel,
 ): number {
   const millionPairs = (promptTokens * promptTokens) / 2 / 1e6;
   return (
@@ -30,7 +30,7 @@
 export function estimateDecodeMs(
   decoding: number,
   contextTokens: number,
-  engine: EngineFigures,
+  engine: EngineCostModel,
 ): number {
   if (decoding === 0) return 0;
   const step =
--- a/packages/direct/src/placement/kv-cache.ts
+++ b/packages/direct/src/placement/kv-cache.ts
@@ -1,5 +1,5 @@
 /** KV cache of engines: free capacity, and reservations for one prompt. */
-import type {EngineFigures} from '../types.js';
+import type {EngineCostModel} from '../types.js';
 import type {EngineLoad, KvReservation} from './load-tracker.js';
 import type {Candidate} from './price-prefill.js';
 import type {PromptDemand} from './prompt-types.js';
@@ -15,7 +15,7 @@
  */
 export function countFreeKvTokens(
   load: EngineLoad,
-  engine: EngineFigures,
+  engine: EngineCostModel,
 ): number {
   return engine.kvCapacityTokens - KV_MARGIN_TOKENS - load.kvTokens;
 }
@@ -33,7 +33,7 @@
   decoder: Candidate,
   helpers: readonly Candidate[],
   demand: PromptDemand,
-  engine: EngineFigures,
+  engine: EngineCostModel,
 ): readonly KvReservation[] | undefined {
   const neededTokens = demand.promptTokens + demand.maxOutputTokens;
   let missingTokens = neededTokens - countFreeKvTokens(decoder.load, engine);
@@ -61,7 +61,7 @@
  */
 export function isWithinIdleKvCapacity(
   demand: Pick<PromptDemand, 'promptTokens' | 'maxOutputTokens'>,
-  engine: EngineFigures,
+  engine: EngineCostModel,
   engines: number,
   most: number,
 ): boolean {
--- a/packages/direct/src/placement/load-tracker.ts
+++ b/packages/direct/src/placement/load-tracker.ts
@@ -5,7 +5,7 @@
  */
 
 import {EngineIterations} from './engine-iterations.js';
-import type {EngineFigures} from '../types.js';
+import type {EngineCostModel} from '../types.js';
 
 /**
  * Longest predicted time to first token, in ms, at which a late first token
@@ -61,7 +61,7 @@
 
 interface TrackedPlacement {
   readonly placement: Placement;
-  hasBegun: boolean;
+  hasFirstToken: boolean;
 }
 
 /** A prompt with a shard in the prefill queue of an engine. */
@@ -129,7 +129,9 @@
    *   target that is not a configured engine.
    */
   constructor(
-    private readonly findEngine: (target: string) => EngineFigures | undefined,
+    private readonly findEngine: (
+      target: string,
+    ) => EngineCostModel | undefined,
   ) {}
 
   /** True while no gate has a placed stream. */
@@ -145,27 +147,27 @@
   /**
    * Adds a placement. One with a known key is not added again.
    *
-   * @param hasBegun - True if the first token has been received.
+   * @param hasFirstToken - True if the first token has been received.
    */
-  add(placement: Placement, hasBegun = false): void {
+  add(placement: Placement, hasFirstToken = false): void {
     const known = this.entries.get(placement.key);
     if (known !== undefined) {
-      if (hasBegun) this.markBegun(placement.key, placement.placedAt);
+      if (hasFirstToken) this.markFirstToken(placement.key, placement.placedAt);
       return;
     }
-    const entry: TrackedPlacement = {placement, hasBegun};
+    const entry: TrackedPlacement = {placement, hasFirstToken};
     this.entries.set(placement.key, entry);
     for (const target of listTargets(placement))
       this.findEngineState(target).entries.add(entry);
-    if (hasBegun) this.addSequence(placement, placement.placedAt);
+    if (hasFirstToken) this.addSequence(placement, placement.placedAt);
     else this.addShards(placement);
   }
 
   /** Records that the first token was received, so that prefill has ended. */
-  markBegun(key: string, now: number): void {
+  markFirstToken(key: string, now: number): void {
     const entry = this.entries.get(key);
-    if (entry === undefined || entry.hasBegun) return;
-    entry.hasBegun = true;
+    if (entry === undefined || entry.hasFirstToken) return;
+    entry.hasFirstToken = true;
     for (const {target} of entry.placement.shards)
       this.engines.get(target)?.iterations?.removeShard(key, now);
     this.addSequence(entry.placement, now);
@@ -204,7 +206,7 @@
   /** Lists the placements of one owner, by the prefix of their keys. */
   listOwnedBy(owner: string): ReadonlyArray<{
     readonly placement: Placement;
-    readonly hasBegun: boolean;
+    readonly hasFirstToken: boolean;
   }> {
     const prefix = `${owner}#`;
     return [...this.entries.values()].filter(entry =>
@@ -213,7 +215,11 @@
   }
 
   /** Removes every placement of `owner` whose key is not in `keep`. */
-  dropUnlessKept(owner: string, keep: ReadonlySet<string>, now: number): void {
+  removeOwnedExcept(
+    owner: string,
+    keep: ReadonlySet<string>,
+    now: number,
+  ): void {
     for (const {placement} of this.listOwnedBy(owner))
       if (!keep.has(placement.key)) this.remove(placement.key, now);
   }
@@ -227,15 +233,15 @@
     let kvTokens = 0;
     let lagMs = 0;
     let helpedPrompts = 0;
-    for (const {placement, hasBegun} of state?.entries ?? []) {
+    for (const {placement, hasFirstToken} of state?.entries ?? []) {
       if (placement.decoder !== target) {
         const reservedTokens = readReservedTokens(placement, target);
         kvTokens += reservedTokens;
-        if (reservedTokens > 0 || !hasBegun) helpedPrompts++;
+        if (reservedTokens > 0 || !hasFirstToken) helpedPrompts++;
         continue;
       }
       kvTokens += placement.kvTokens;
-      if (hasBegun) {
+      if (hasFirstToken) {
         decoding.push(placement);
         contextTokens += placement.promptTokens;
       } else {
@@ -353,7 +359,7 @@
  * const tracker = createLoadTracker(id => state.findEngine(id));
  */
 export function createLoadTracker(
-  findEngine: (target: string) => EngineFigures | undefined,
+  findEngine: (target: string) => EngineCostModel | undefined,
 ): LoadTracker {
   return new LoadTracker(findEngine);
 }
--- a/packages/direct/src/placement/place-call.ts
+++ b/packages/direct/src/placement/place-call.ts
@@ -55,12 +55,12 @@
   }
 
   /** Records that a call to the target `id` has started. */
-  enter(id: string): void {
+  recordStart(id: string): void {
     this.inFlight.set(id, (this.inFlight.get(id) ?? 0) + 1);
   }
 
   /** Records that a call to the target `id` has ended. */
-  leave(id: string): void {
+  recordEnd(id: string): void {
     const left = (this.inFlight.get(id) ?? 1) - 1;
     if (left > 0) this.inFlight.set(id, left);
     else this.inFlight.delete(id);
--- a/packages/direct/src/placement/place-prompt.test.ts
+++ b/packages/direct/src/placement/place-prompt.test.ts
@@ -1,7 +1,7 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import fc from 'fast-check';
-import {ENGINE} from '../test/gate-world.js';
+import {ENGINE} from '../test/gate-harness.js';
 import {estimatePrefillMs} from './engine-model.js';
 import {createLoadTracker} from './load-tracker.js';
 import {
@@ -75,7 +75,7 @@
       predictedTtftMs: 100,
       placedAt: 0,
     });
-    tracker.markBegun(`w#${i}`, 0);
+    tracker.markFirstToken(`w#${i}`, 0);
   }
 }
 
@@ -126,7 +126,7 @@
     const shortStreamEngines = new Set<string>();
     for (let i = 0; i < 12; i++) {
       const choice = placePrompt(tracker, 3000, 16, i * 40);
-      tracker.markBegun(`g#${lastKey}`, i * 40);
+      tracker.markFirstToken(`g#${lastKey}`, i * 40);
       shortStreamEngines.add(choice?.decoder ?? '');
     }
     expect(shortStreamEngines.size <= 3).toEqual(true);
@@ -143,7 +143,7 @@
     const tracker = createLoadTracker(() => ENGINE);
     for (let i = 0; i < 40; i++) {
       placePrompt(tracker, 3000, 16, i * 10);
-      tracker.markBegun(`g#${lastKey}`, i * 10);
+      tracker.markFirstToken(`g#${lastKey}`, i * 10);
     }
     const demand = {...buildDemand(190_000), objectiveLeftMs: -500};
     const choice = choosePromptEngines(
@@ -301,7 +301,7 @@
     const tracker = createLoadTracker(() => ENGINE);
     placePrompt(tracker, 200_000, 4, 0);
     expect(tracker.describe('e0', 0).backlogMs > 0).toEqual(true);
-    tracker.dropUnlessKept('g', new Set(), 0);
+    tracker.removeOwnedExcept('g', new Set(), 0);
     expect(tracker.describe('e0', 0).backlogMs).toEqual(0);
     expect(tracker.describe('e0', 0).active).toEqual(0);
   });
@@ -321,7 +321,7 @@
     const tracker = createLoadTracker(() => ENGINE);
     const choice = placePrompt(tracker, 3000, 1, 0);
     expect(tracker.describe('e0', 0).backlogMs > 0).toEqual(true);
-    tracker.markBegun(`g#${lastKey}`, 0);
+    tracker.markFirstToken(`g#${lastKey}`, 0);
     const load = tracker.describe(choice?.decoder ?? '', 0);
     expect(load.backlogMs).toEqual(0);
     expect(load.decoding.length).toEqual(1);
--- a/packages/direct/src/placement/place-prompt.ts
+++ b/packages/direct/src/placement/place-prompt.ts
@@ -12,7 +12,7 @@
   priceLoadAndZone,
 } from './price-decoder.js';
 import {pricePrefill} from './price-prefill.js';
-import type {EngineFigures} from '../types.js';
+import type {EngineCostModel} from '../types.js';
 import type {Placement} from './load-tracker.js';
 import type {Candidate, PricedEngine} from './price-prefill.js';
 import type {PromptChoice, PromptDemand} from './prompt-types.js';
@@ -53,7 +53,7 @@
 function pickHelpers(
   priced: readonly PricedEngine[],
   count: number,
-  engine: EngineFigures,
+  engine: EngineCostModel,
 ): readonly PricedEngine[] {
   return priced
     .filter(({candidate}) => candidate.load.helpedPrompts < engine.slots)
@@ -69,7 +69,7 @@
 function pickDecoders(
   priced: readonly PricedEngine[],
   demand: PromptDemand,
-  engine: EngineFigures,
+  engine: EngineCostModel,
 ): readonly PricedEngine[] {
   if (priced.length <= MAX_DECODERS) return priced;
   const costs = new Map(
@@ -113,7 +113,7 @@
   decoder: PricedEngine,
   helpers: readonly PricedEngine[],
   demand: PromptDemand,
-  engine: EngineFigures,
+  engine: EngineCostModel,
 ): PromptChoice | undefined {
   const reservations = planReservations(
     decoder.candidate,
@@ -163,7 +163,7 @@
 export function choosePromptEngines(
   candidates: readonly Candidate[],
   demand: PromptDemand,
-  engine: EngineFigures,
+  engine: EngineCostModel,
   now: number,
 ): PromptChoice | undefined {
   const prefillMs = estimatePrefillMs(demand.promptTokens, engine);
--- a/packages/direct/src/placement/price-decoder.ts
+++ b/packages/direct/src/placement/price-decoder.ts
@@ -9,7 +9,7 @@
   estimateMissProbability,
 } from './loss.js';
 import {ABANDON_TTFT_OBJECTIVES} from './price-prefill.js';
-import type {EngineFigures} from '../types.js';
+import type {EngineCostModel} from '../types.js';
 import type {Candidate, PricedEngine} from './price-prefill.js';
 import type {PromptDemand} from './prompt-types.js';
 
@@ -47,7 +47,7 @@
 export function priceLoadAndZone(
   candidate: Candidate,
   demand: PromptDemand,
-  engine: EngineFigures,
+  engine: EngineCostModel,
 ): number {
   const {load, isRemote} = candidate;
   const isLatencySensitive = demand.itlObjectiveMs <= LATENCY_SENSITIVE_ITL_MS;
@@ -80,7 +80,7 @@
 export function estimateIterationMs(
   {load, slowdown}: Candidate,
   contextTokens: number,
-  engine: EngineFigures,
+  engine: EngineCostModel,
 ): number {
   const decoding = load.decoding.length + 1;
   const context = load.contextTokens + contextTokens;
@@ -121,7 +121,7 @@
 export function priceAsDecoder(
   priced: PricedEngine,
   demand: PromptDemand,
-  engine: EngineFigures,
+  engine: EngineCostModel,
 ): number {
   const {
     candidate,
--- a/packages/direct/src/placement/price-prefill.ts
+++ b/packages/direct/src/placement/price-prefill.ts
@@ -4,7 +4,7 @@
  */
 import {estimateDecodeMs} from './engine-model.js';
 import {TTFT_ERROR, ITL_ERROR, estimateAddedLoss} from './loss.js';
-import type {EngineFigures} from '../types.js';
+import type {EngineCostModel} from '../types.js';
 import type {EngineLoad} from './load-tracker.js';
 
 /** Multiple of the inter-token objective at which callers cancel. */
@@ -125,7 +125,7 @@
 export function pricePrefill(
   candidate: Candidate,
   shardMs: number,
-  engine: EngineFigures,
+  engine: EngineCostModel,
   now: number,
 ): PricedEngine {
   const {load, slowdown} = candidate;
--- a/packages/direct/src/placement/prompt-placer.ts
+++ b/packages/direct/src/placement/prompt-placer.ts
@@ -12,7 +12,7 @@
 import type {FleetState} from '../fleet/fleet-state.js';
 import type {EngineSlowdowns} from '../health/engine-slowdowns.js';
 import type {TargetHealth} from '../health/target-health.js';
-import type {EngineFigures, Target} from '../types.js';
+import type {EngineCostModel, Target} from '../types.js';
 import type {LoadTracker, Placement} from './load-tracker.js';
 import type {PromptChoice, PromptDemand} from './prompt-types.js';
 import type {Candidate} from './price-prefill.js';
@@ -22,7 +22,7 @@
   /** Announces that a stream was placed. */
   abstract announcePlaced(placement: Placement): void;
   /** Announces that the first token of a stream was received. */
-  abstract announceBegun(key: string): void;
+  abstract announceFirstToken(key: string): void;
   /** Announces that a stream has ended. */
   abstract announceEnded(key: string): void;
 }
@@ -42,9 +42,9 @@
   ) {}
 
   /** Records that the first token was received, so that prefill has ended. */
-  markBegun(): void {
-    this.tracker.markBegun(this.key, this.readNow());
-    this.announcer.announceBegun(this.key);
+  markFirstToken(): void {
+    this.tracker.markFirstToken(this.key, this.readNow());
+    this.announcer.announceFirstToken(this.key);
   }
 
   /** True while the prefill is expected to be running or queued. */
@@ -112,16 +112,16 @@
   /**
    * Places a stream on engines that are not in `tried`.
    *
-   * @param mayOverfill - Places the stream even if all slots are taken; it then
+   * @param mayExceedSlots - Places the stream even if all slots are taken; it then
    *   waits in the queue of the engine.
    * @returns `full` if no slot or not enough KV cache is free, `none` if even
    *   idle engines could not hold the prompt.
    */
   place(
     request: PromptRequest,
-    engine: EngineFigures,
+    engine: EngineCostModel,
     tried: ReadonlySet<string>,
-    mayOverfill: boolean,
+    mayExceedSlots: boolean,
   ): PlacementOutcome {
     const {tracker, announcer, owner, readNow} = this.options;
     const now = readNow();
@@ -148,7 +148,7 @@
     const {choice, waitMs} = timed;
     if (waitMs > 0) return {waitMs, predictedTtftMs: choice.predictedTtftMs};
     const {active} = tracker.describe(choice.decoder, now);
-    if (!mayOverfill && active >= engine.slots) return 'full';
+    if (!mayExceedSlots && active >= engine.slots) return 'full';
     const key = `${owner}#${++this.lastPlacementNumber}`;
     const placement = buildPlacement(key, choice, demand, now);
     tracker.add(placement);
@@ -171,7 +171,7 @@
   /** Checks whether an engine that is not in `tried` has a free slot. */
   isSlotFree(
     service: string,
-    engine: EngineFigures,
+    engine: EngineCostModel,
     tried: ReadonlySet<string>,
   ): boolean {
     const {tracker, readNow} = this.options;
--- a/packages/direct/src/ports.ts
+++ b/packages/direct/src/ports.ts
@@ -5,11 +5,11 @@
  */
 import type {FactPosition} from './fleet/fact-position.js';
 import type {
-  AnswerFacts,
+  AnswerMetadata,
   FleetConfig,
-  ForwardFacts,
+  ForwardMetadata,
   RawHeaders,
-  RequestFacts,
+  RequestMetadata,
   Target,
 } from './types.js';
 
@@ -18,15 +18,15 @@
   /** Parses the head of a caller's request. */
   abstract parseRequest(
     headers: Readonly<Record<string, string | string[] | undefined>>,
-  ): RequestFacts;
+  ): RequestMetadata;
 
   /** Builds the request head for a target from the caller's request head. */
-  abstract buildForTarget(caller: RawHeaders, facts: ForwardFacts): string[];
+  abstract buildForTarget(caller: RawHeaders, facts: ForwardMetadata): string[];
 
   /** Parses the head of a target's answer. */
   abstract parseAnswer(
     headers: Readonly<Record<string, string | string[] | undefined>>,
-  ): AnswerFacts;
+  ): AnswerMetadata;
 
   /** Path of the readiness check. */
   abstract readonly readyPath: string;
--- a/packages/direct/src/test/fake-reports.ts
+++ b/packages/direct/src/test/fake-reports.ts
@@ -10,10 +10,10 @@
   /** Slowdowns by target id; an engine without one does not answer. */
   readonly slowdowns = new Map<string, number>();
   /** Ids of the polled targets, in order. */
-  readonly asked: string[] = [];
+  readonly polled: string[] = [];
 
   override read(target: Target): Promise<EngineReport | undefined> {
-    this.asked.push(target.id);
+    this.polled.push(target.id);
     const slowdown = this.slowdowns.get(target.id);
     return Promise.resolve(slowdown === undefined ? undefined : {slowdown});
   }
@@ -27,7 +27,7 @@
   return new EngineSlowdowns({
     reports: new FakeReports(),
     listEngines: () => [],
-    isMine: () => false,
+    isAssigned: () => false,
     onSlowdown: () => undefined,
     log,
     readNow,
--- a/packages/direct/src/test/fake-target.ts
+++ b/packages/direct/src/test/fake-target.ts
@@ -17,7 +17,10 @@
 }
 
 /** Sends a complete, signed answer. */
-export function answerWhole(req: IncomingMessage, res: ServerResponse): void {
+export function answerCompletely(
+  req: IncomingMessage,
+  res: ServerResponse,
+): void {
   res.writeHead(200, buildSignedHead(req));
   res.end('whole');
 }
@@ -43,7 +46,7 @@
  * Target whose answers a script gives.
  *
  * @example
- * const target = await openFakeTarget('t1', 'orders', answerWhole);
+ * const target = await openFakeTarget('t1', 'orders', answerCompletely);
  */
 export class FakeTarget {
   /** Ids of the received requests, in order. */
@@ -97,7 +100,7 @@
  * Starts a scripted target.
  *
  * @example
- * const target = await openFakeTarget('t1', 'chat', answerWhole);
+ * const target = await openFakeTarget('t1', 'chat', answerCompletely);
  */
 export async function openFakeTarget(
   id: string,
--- a/packages/direct/src/test/gate-world.ts
+++ b/packages/direct/src/test/gate-harness.ts
@@ -12,11 +12,11 @@
 import type {DirectGate} from '../gate.js';
 import type {ReservationOutcome} from '../ports.js';
 import type {RetryBounds} from '../retry/shared-retry-budget.js';
-import type {EngineFigures, FleetConfig, Route} from '../types.js';
+import type {EngineCostModel, FleetConfig, Route} from '../types.js';
 import type {FakeTarget, TargetScript} from './fake-target.js';
 
 /** Cost model of a typical engine. */
-export const ENGINE: EngineFigures = {
+export const ENGINE: EngineCostModel = {
   slots: 11,
   kvCapacityTokens: 315_000,
   stepMs: 0.85,
@@ -136,7 +136,7 @@
 }
 
 /** Answer that a caller received. */
-export interface CallerAnswer {
+export interface ReceivedResponse {
   readonly status: number;
   readonly body: string;
   /** False if the connection broke before the answer was complete. */
@@ -154,18 +154,18 @@
   readonly method?: string;
   readonly body?: string;
   /** Time after which the caller disconnects, in ms. */
-  readonly leaveAfterMs?: number;
+  readonly disconnectAfterMs?: number;
 }
 
 /**
  * Gate under test with its fake store and fake targets.
  *
  * @example
- * const harness = await openGateWorld();
- * await harness.addTarget('t1', 'orders', answerWhole);
+ * const harness = await openGateHarness();
+ * await harness.addTarget('t1', 'orders', answerCompletely);
  * await harness.call('/safe/x');
  */
-export class GateWorld {
+export class GateHarness {
   readonly store = new FakeStore();
   readonly reservations = new FakeReservations();
   readonly reports = new FakeReports();
@@ -229,7 +229,7 @@
   }
 
   /** Calls the gate and waits until the answer has ended. */
-  call(path: string, options: CallOptions = {}): Promise<CallerAnswer> {
+  call(path: string, options: CallOptions = {}): Promise<ReceivedResponse> {
     return callGate({host: this.host, port: this.port}, path, options);
   }
 
@@ -272,7 +272,7 @@
   address: {readonly host: string; readonly port: number},
   path: string,
   options: CallOptions,
-): Promise<CallerAnswer> {
+): Promise<ReceivedResponse> {
   const startedAt = performance.now();
   return new Promise(resolve => {
     let status = 0;
@@ -309,8 +309,8 @@
       res.once('error', () => finish(false));
       res.once('end', () => finish(res.complete));
     });
-    if (options.leaveAfterMs !== undefined)
-      setTimeout(() => req.destroy(), options.leaveAfterMs);
+    if (options.disconnectAfterMs !== undefined)
+      setTimeout(() => req.destroy(), options.disconnectAfterMs);
     req.end(options.body);
   });
 }
@@ -321,9 +321,9 @@
  * Starts a gate, with the default configuration unless another is given.
  *
  * @example
- * const harness = await openGateWorld({host: '127.0.0.2'});
+ * const harness = await openGateHarness({host: '127.0.0.2'});
  */
-export async function openGateWorld(
+export async function openGateHarness(
   options: {
     readonly host?: string;
     readonly port?: number;
@@ -331,9 +331,9 @@
     readonly config?: FleetConfig | 'none';
     readonly retryBounds?: RetryBounds;
   } = {},
-): Promise<GateWorld> {
+): Promise<GateHarness> {
   const port = options.port ?? (lastPort += 10);
-  const harness = new GateWorld(
+  const harness = new GateHarness(
     options.host ?? buildLoopbackHost(0),
     port,
     options.seedHosts ?? [],
--- a/packages/direct/src/test/test-dialect.ts
+++ b/packages/direct/src/test/test-dialect.ts
@@ -2,10 +2,10 @@
 import {stripHopByHop} from '../forward/caller-response.js';
 import {HeaderDialect} from '../ports.js';
 import type {
-  AnswerFacts,
-  ForwardFacts,
+  AnswerMetadata,
+  ForwardMetadata,
   RawHeaders,
-  RequestFacts,
+  RequestMetadata,
 } from '../types.js';
 
 type ParsedHeaders = Readonly<Record<string, string | string[] | undefined>>;
@@ -23,7 +23,7 @@
 export class TestDialect extends HeaderDialect {
   override readonly readyPath = '/ready';
 
-  override parseRequest(headers: ParsedHeaders): RequestFacts {
+  override parseRequest(headers: ParsedHeaders): RequestMetadata {
     return {
       requestId: headers['x-test-id'] as string | undefined,
       deadlineMs: readNumber(headers['x-test-deadline']),
@@ -33,7 +33,10 @@
     };
   }
 
-  override buildForTarget(caller: RawHeaders, facts: ForwardFacts): string[] {
+  override buildForTarget(
+    caller: RawHeaders,
+    facts: ForwardMetadata,
+  ): string[] {
     const headers = stripHopByHop(caller).filter(
       (_, i, all) => all[i - (i % 2)].toLowerCase() !== 'x-test-key',
     );
@@ -47,7 +50,7 @@
     return headers;
   }
 
-  override parseAnswer(headers: ParsedHeaders): AnswerFacts {
+  override parseAnswer(headers: ParsedHeaders): AnswerMetadata {
     return {
       requestId: headers['x-test-id'] as string | undefined,
       isSigned: headers['x-test-signature'] !== undefined,
--- a/packages/direct/src/types.ts
+++ b/packages/direct/src/types.ts
@@ -41,7 +41,7 @@
 }
 
 /** Cost model of a model engine. */
-export interface EngineFigures {
+export interface EngineCostModel {
   /** Maximum number of sequences that are decoded concurrently. */
   readonly slots: number;
   /** Capacity of the KV cache of one engine, in tokens. */
@@ -66,7 +66,7 @@
 export interface ServiceConfig {
   readonly name: string;
   /** Present for model engines, absent for plain services. */
-  readonly engine: EngineFigures | undefined;
+  readonly engine: EngineCostModel | undefined;
 }
 
 /** Limits on requests and connections of callers. */
@@ -114,7 +114,7 @@
 }
 
 /** Properties of a caller's request, decoded from its head. */
-export interface RequestFacts {
+export interface RequestMetadata {
   readonly requestId: string | undefined;
   /** Time for which the caller waits for the answer, in ms. */
   readonly deadlineMs: number | undefined;
@@ -133,7 +133,7 @@
 }
 
 /** Properties that the gate adds to a request for a target. */
-export interface ForwardFacts {
+export interface ForwardMetadata {
   readonly deadlineLeftMs: number;
   readonly target: Target;
   /** Name of the client account; absent on public routes without a key. */
@@ -146,7 +146,7 @@
 }
 
 /** Properties of a target's answer, decoded from its head. */
-export interface AnswerFacts {
+export interface AnswerMetadata {
   readonly requestId: string | undefined;
   readonly isSigned: boolean;
   /** Whether the target states that the request was not executed. */
--- a/packages/gate/src/api/serve-admitted.ts
+++ b/packages/gate/src/api/serve-admitted.ts
@@ -73,7 +73,7 @@
   const route: RouteRequest = {
     promptTokens: countTokens(request.prompt),
     maxTokens: request.maxTokens,
-    isLong: countTokens(request.prompt) > SHORT_MAX_TOKENS,
+    isLongPrompt: countTokens(request.prompt) > SHORT_MAX_TOKENS,
     prefixes: hashPrefixes(request.prompt),
   };
   const refusal = checkDeadline(context, request.pool, route, deadlineMs);
--- a/packages/gate/src/dispatch/dispatcher.ts
+++ b/packages/gate/src/dispatch/dispatcher.ts
@@ -207,8 +207,8 @@
         {...request, attempt, resume: readResumePoint(job.chunks)},
         notice => job.chunks.push(notice),
         {
-          answerMs: remainingMs + DEADLINE_GRACE_MS,
-          acceptMs: request.notRepeatable
+          answerTimeoutMs: remainingMs + DEADLINE_GRACE_MS,
+          ackTimeoutMs: request.notRepeatable
             ? undefined
             : this.options.acceptTimeoutMs,
           promptTokens: route.promptTokens,
--- a/packages/gate/src/dispatch/retry-budget.test.ts
+++ b/packages/gate/src/dispatch/retry-budget.test.ts
@@ -81,7 +81,12 @@
           keyed: false,
           recordVersion: 1,
         },
-        route: {promptTokens: 1, maxTokens: 1, isLong: false, prefixes: []},
+        route: {
+          promptTokens: 1,
+          maxTokens: 1,
+          isLongPrompt: false,
+          prefixes: [],
+        },
         resumable: true,
         chunks: createChunkStream(),
         signal: new AbortController().signal,
--- a/packages/gate/src/gate.ts
+++ b/packages/gate/src/gate.ts
@@ -8,12 +8,12 @@
   createCounters,
   createLatencyHistogram,
   createLogger,
-  closeIdleWhenRead,
+  closeIdleAfterRead,
   openListener,
   readPath,
   readPort,
   sendJson,
-  waitForReading,
+  waitForPendingReads,
   waitMs,
 } from '@nutmeggauge/core';
 import {AdminApi} from './admin/admin-api.js';
@@ -141,7 +141,7 @@
     await this.admin?.start();
     const server = createServer((req, res) => this.serve(req, res));
     this.server = server;
-    closeIdleWhenRead(server);
+    closeIdleAfterRead(server);
     observeConnections(this.log, server);
     await openListener(server, this.settings.listen);
     this.log.info('gate_listening', {
@@ -187,7 +187,7 @@
 
   private async closeListener(): Promise<void> {
     if (this.server === undefined) return;
-    await waitForReading(this.server);
+    await waitForPendingReads(this.server);
     this.server.close();
     this.server.closeIdleConnections();
   }
--- a/packages/gate/src/membership/agent-connection.test.ts
+++ b/packages/gate/src/membership/agent-connection.test.ts
@@ -110,8 +110,8 @@
       attempt: 1,
     } as const;
     const bounds = {
-      answerMs: 30_000,
-      acceptMs: ACK_TIMEOUT_MS,
+      answerTimeoutMs: 30_000,
+      ackTimeoutMs: ACK_TIMEOUT_MS,
       promptTokens: 1,
     };
     const dispatch = () =>
--- a/packages/gate/src/membership/agent-connection.ts
+++ b/packages/gate/src/membership/agent-connection.ts
@@ -16,8 +16,8 @@
   waitMs,
 } from '@nutmeggauge/core';
 import type {
-  AcceptedNotice,
-  ChunkNotice,
+  AcceptedNotification,
+  ChunkNotification,
   ConfigRecord,
   Counters,
   DispatchOutcome,
@@ -40,7 +40,7 @@
 const STALE_RECORD_GRACE_MS = 2000;
 
 /** Handles the chunks of one request. */
-export type ChunkHandler = (notice: ChunkNotice) => void;
+export type ChunkHandler = (notice: ChunkNotification) => void;
 
 /** Options of an agent connection. */
 export interface AgentConnectionOptions {
@@ -176,7 +176,7 @@
     this.outstanding++;
     this.unreportedByClass[findLengthClass(bounds.promptTokens)] +=
       bounds.promptTokens;
-    const ackWait = this.waitForAck(bounds.acceptMs);
+    const ackWait = this.waitForAck(bounds.ackTimeoutMs);
     this.inFlight.set(request.requestId, {
       onChunk,
       markAccepted: ackWait.markAccepted,
@@ -184,7 +184,7 @@
     const answer = link.call<DispatchOutcome>(
       RpcMethod.dispatch,
       request,
-      bounds.answerMs,
+      bounds.answerTimeoutMs,
     );
     // Prevents an unhandled rejection if the call fails after the ack timeout.
     answer.catch(() => undefined);
@@ -203,10 +203,10 @@
 
   /**
    * Starts the wait for an agent's ack. The returned `timedOut` rejects when no
-   * ack arrives within `acceptMs`; without `acceptMs` it never rejects.
+   * ack arrives within `ackTimeoutMs`; without `ackTimeoutMs` it never rejects.
    */
-  private waitForAck(acceptMs: number | undefined): AckWait {
-    if (acceptMs === undefined)
+  private waitForAck(ackTimeoutMs: number | undefined): AckWait {
+    if (ackTimeoutMs === undefined)
       return {timedOut: new Promise(() => {}), markAccepted: () => {}};
     let timeout: ReadTimeout | undefined;
     const timedOut = new Promise<never>((_resolve, reject) => {
@@ -215,9 +215,9 @@
       timeout = new ReadTimeout(() => {
         // Marks the agent unusable until its next load report.
         this.lastReportAt = 0;
-        const message = `${this.id} sent no ack within ${acceptMs} ms`;
+        const message = `${this.id} sent no ack within ${ackTimeoutMs} ms`;
         reject(new RpcFailedError({info: {target: this.id}}, message));
-      }, acceptMs);
+      }, ackTimeoutMs);
     });
     return {timedOut: timedOut, markAccepted: () => timeout?.stop()};
   }
@@ -252,10 +252,12 @@
     );
     link?.handle(RpcMethod.load, params => this.receiveLoad(params));
     link?.handle(RpcMethod.accepted, params =>
-      this.inFlight.get((params as AcceptedNotice).requestId)?.markAccepted(),
+      this.inFlight
+        .get((params as AcceptedNotification).requestId)
+        ?.markAccepted(),
     );
     link?.handle(RpcMethod.chunk, params => {
-      const notice = params as ChunkNotice;
+      const notice = params as ChunkNotification;
       this.inFlight.get(notice.requestId)?.onChunk(notice);
     });
     return link;
--- a/packages/gate/src/membership/target-link.ts
+++ b/packages/gate/src/membership/target-link.ts
@@ -4,7 +4,7 @@
  * tests use other implementations.
  */
 import type {
-  ChunkNotice,
+  ChunkNotification,
   DispatchOutcome,
   DispatchRequest,
   LoadReport,
@@ -29,11 +29,11 @@
  */
 export interface DispatchBounds {
   /** Timeout for the agent's answer, in ms. */
-  readonly answerMs: number;
+  readonly answerTimeoutMs: number;
   /**
    * Timeout for the agent's ack, in ms; undefined waits for the answer only.
    */
-  readonly acceptMs?: number;
+  readonly ackTimeoutMs?: number;
   readonly promptTokens: number;
 }
 
@@ -51,7 +51,7 @@
    */
   dispatch(
     request: DispatchRequest,
-    onChunk: (notice: ChunkNotice) => void,
+    onChunk: (notice: ChunkNotification) => void,
     bounds: DispatchBounds,
   ): Promise<DispatchOutcome>;
 
--- a/packages/gate/src/routing/load-routers.test.ts
+++ b/packages/gate/src/routing/load-routers.test.ts
@@ -8,7 +8,7 @@
 const createRequest = (prompt: string): RouteRequest => ({
   promptTokens: prompt.length / 4,
   maxTokens: 16,
-  isLong: false,
+  isLongPrompt: false,
   prefixes: hashPrefixes(prompt),
 });
 
--- a/packages/gate/src/routing/load-routers.ts
+++ b/packages/gate/src/routing/load-routers.ts
@@ -1,7 +1,7 @@
 /**
  * Routing policies that use the load reports of agents.
  */
-import {LENGTH_CLASSES, findLengthClass} from '@nutmeggauge/core';
+import {LENGTH_CLASS_COUNT, findLengthClass} from '@nutmeggauge/core';
 import {PrefixMemory} from './prefix-memory.js';
 import {Router} from './router.js';
 import type {TargetView} from '../membership/target-link.js';
@@ -147,7 +147,7 @@
   protected estimateLoad(target: TargetView, request: RouteRequest): number {
     return (
       this.estimatePrefillTokens(target, request) +
-      sumPendingTokens(target, 0, LENGTH_CLASSES - 1) +
+      sumPendingTokens(target, 0, LENGTH_CLASS_COUNT - 1) +
       DECODE_WEIGHT * (target.load?.pendingDecodeTokens ?? 0)
     );
   }
@@ -186,7 +186,7 @@
     const longerTokens = sumPendingTokens(
       target,
       ownClass + 1,
-      LENGTH_CLASSES - 1,
+      LENGTH_CLASS_COUNT - 1,
     );
     return (
       this.estimatePrefillTokens(target, request) +
--- a/packages/gate/src/routing/router.ts
+++ b/packages/gate/src/routing/router.ts
@@ -10,7 +10,7 @@
   readonly promptTokens: number;
   readonly maxTokens: number;
   /** True for a prompt of more than SHORT_MAX_TOKENS tokens. */
-  readonly isLong: boolean;
+  readonly isLongPrompt: boolean;
   /** Hashes of the prompt's prefixes; see routing/prefix-memory. */
   readonly prefixes: readonly string[];
 }
--- a/packages/gate/src/streaming/reassembly.ts
+++ b/packages/gate/src/streaming/reassembly.ts
@@ -4,7 +4,7 @@
  */
 import {EventEmitter} from 'node:events';
 import * as most from 'most';
-import type {ChunkNotice} from '@nutmeggauge/core';
+import type {ChunkNotification} from '@nutmeggauge/core';
 
 interface ReorderState {
   readonly next: number;
@@ -20,7 +20,7 @@
  */
 export function stepReorder(
   state: ReorderState,
-  notice: ChunkNotice,
+  notice: ChunkNotification,
 ): {readonly seed: ReorderState; readonly value: readonly string[]} {
   if (notice.seq < state.next || state.held.has(notice.seq))
     return {seed: state, value: []};
@@ -61,7 +61,7 @@
   }
 
   /** Adds one chunk; chunks may arrive in any order. */
-  push(notice: ChunkNotice): void {
+  push(notice: ChunkNotification): void {
     this.events.emit('chunk', notice);
   }
 
@@ -77,7 +77,7 @@
   observe(write: (text: string) => void): Promise<void> {
     const ended = most.fromEvent<boolean>('end', this.events);
     return most
-      .fromEvent<ChunkNotice>('chunk', this.events)
+      .fromEvent<ChunkNotification>('chunk', this.events)
       .until(ended)
       .loop(stepReorder, {
         next: 0,
--- a/packages/nutmeggauge/src/cli/bad-words.test.ts
+++ b/packages/nutmeggauge/src/cli/invalid-arguments.test.ts
@@ -4,8 +4,8 @@
 import {fileURLToPath} from 'node:url';
 import {expect} from 'earl';
 import {
-  buildEnded,
-  buildLine,
+  buildRequestEndedLine,
+  buildLogLine,
   writeLog,
   writeTestFile,
 } from '../test/gate-lines.js';
@@ -41,8 +41,8 @@
 }
 
 const LOG_FILE = writeLog([
-  buildLine(0, 'gate_started'),
-  buildEnded(500, 'known'),
+  buildLogLine(0, 'gate_started'),
+  buildRequestEndedLine(500, 'known'),
 ]);
 
 describe('nutmeggauge explain', () => {
--- a/packages/nutmeggauge/src/cluster/local-cluster.ts
+++ b/packages/nutmeggauge/src/cluster/local-cluster.ts
@@ -66,8 +66,8 @@
   }
 
   /** Tells whether a process runs and was sent no SIGTERM or SIGKILL. */
-  isStaying(name: string): boolean {
-    return this.children.get(name)?.isStaying === true;
+  isActive(name: string): boolean {
+    return this.children.get(name)?.isActive === true;
   }
 
   /** Starts every process: stand-ins first, then agents, then gates. */
@@ -161,7 +161,7 @@
   private async runRestart(name: string): Promise<void> {
     const launch = this.layout.launches.find(l => l.name === name);
     const previous = this.children.get(name);
-    if (launch === undefined || previous?.isStaying) return;
+    if (launch === undefined || previous?.isActive) return;
     await previous?.waitForExit();
     launch.writeSettings?.({isFirstStart: false});
     await this.launch(launch, false);
--- a/packages/nutmeggauge/src/cluster/process.ts
+++ b/packages/nutmeggauge/src/cluster/process.ts
@@ -34,7 +34,7 @@
   }
 
   /** True while the process runs and was sent no SIGTERM or SIGKILL. */
-  get isStaying(): boolean {
+  get isActive(): boolean {
     return this.isRunning && !this.isTerminating;
   }
 
--- a/packages/nutmeggauge/src/e2e/api.test.ts
+++ b/packages/nutmeggauge/src/e2e/api.test.ts
@@ -2,7 +2,12 @@
 import {MAX_BODY_BYTES} from '@nutmeggauge/core';
 import {expect} from 'earl';
 import {request} from 'undici';
-import {OTHER_KEY, TEST_KEY, postJson, startStack} from '../test/stack.js';
+import {
+  SECOND_ACCOUNT_KEY,
+  TEST_KEY,
+  postJson,
+  startStack,
+} from '../test/stack.js';
 import type {Stack} from '../test/stack.js';
 
 describe('HTTP API for callers', () => {
@@ -66,7 +71,7 @@
     const res = await postJson(
       `${stack.gateUrl}/v1/services/orders/place-order`,
       {sku: 'a'},
-      {authorization: `Bearer ${OTHER_KEY}`},
+      {authorization: `Bearer ${SECOND_ACCOUNT_KEY}`},
     );
     expect(res.status).toEqual(403);
     expect(res.body.error.type).toEqual('forbidden');
--- a/packages/nutmeggauge/src/e2e/at-most-once.test.ts
+++ b/packages/nutmeggauge/src/e2e/at-most-once.test.ts
@@ -3,12 +3,12 @@
 import {v7 as uuidv7} from 'uuid';
 import {
   TEST_AUTH,
-  countRuns,
+  countExecutions,
   findHomeIndex,
   placeOrder,
   postJson,
-  readUsable,
-  renderWholeAnswer,
+  readTargetUsability,
+  renderCompleteAnswer,
   startStack,
   startTestGate,
   streamCompletion,
@@ -52,7 +52,7 @@
     );
     await killed;
     expect(result.done).toEqual(true);
-    expect(result.text).toEqual(renderWholeAnswer(120));
+    expect(result.text).toEqual(renderCompleteAnswer(120));
   });
 });
 
@@ -120,7 +120,7 @@
     gateB.close();
     expect(first.status).toEqual(200);
     expect(retry.body.result.slip).toEqual(first.body.result.slip);
-    expect(countRuns(stack, 'o-2')).toEqual(1);
+    expect(countExecutions(stack, 'o-2')).toEqual(1);
   });
 });
 
@@ -142,7 +142,7 @@
     const first = await placeOrder(stack, key);
     stack.plain[homeIndex].setFault('none');
     const retry = await placeOrder(stack, key);
-    expect(countRuns(stack, key)).toEqual(1);
+    expect(countExecutions(stack, key)).toEqual(1);
     expect(first.status === 503 ? first.body.error.type : 'booked').toEqual(
       'not_run',
     );
@@ -166,11 +166,12 @@
     const first = await placeOrder(stack, key);
     stack.agents[1 + home].close();
     await waitUntil(
-      async () => (await readUsable(stack))[`plain-${home + 1}`] === false,
+      async () =>
+        (await readTargetUsability(stack))[`plain-${home + 1}`] === false,
     );
     const retry = await placeOrder(stack, key);
     expect(first.status).toEqual(200);
-    expect(countRuns(stack, key)).toEqual(1);
+    expect(countExecutions(stack, key)).toEqual(1);
     expect(retry.status).toEqual(503);
     expect(retry.body.error.reason).toEqual('home_unavailable');
   });
@@ -192,7 +193,7 @@
     await placeOrder(stack, key);
     await stack.restartAgent(1);
     const retry = await placeOrder(stack, key);
-    expect(countRuns(stack, key)).toEqual(1);
+    expect(countExecutions(stack, key)).toEqual(1);
     expect(retry.body.error.type).toEqual('outcome_unknown');
   });
 });
@@ -217,7 +218,7 @@
     await send();
     const repeat = await send();
     expect(repeat.status).toEqual(200);
-    expect(repeat.body.choices[0].text).toEqual(renderWholeAnswer(7));
+    expect(repeat.body.choices[0].text).toEqual(renderCompleteAnswer(7));
     expect(countSubmitted(stack)).toEqual(1);
   });
 });
--- a/packages/nutmeggauge/src/e2e/drain.test.ts
+++ b/packages/nutmeggauge/src/e2e/drain.test.ts
@@ -4,8 +4,8 @@
 import {
   TEST_KEY,
   postJson,
-  readUsable,
-  renderWholeAnswer,
+  readTargetUsability,
+  renderCompleteAnswer,
   startStack,
   streamCompletion,
   waitUntil,
@@ -35,7 +35,8 @@
     });
     await waitUntil(() => busy >= 0);
     await waitUntil(
-      async () => (await readUsable(stack))[`engine-${busy + 1}`] === false,
+      async () =>
+        (await readTargetUsability(stack))[`engine-${busy + 1}`] === false,
     );
     const submittedBefore = stack.engines[busy].scheduler.submitted;
     const short = await Promise.all(
@@ -51,7 +52,7 @@
     await drained;
     expect(short.map(r => r.status)).toEqual([200, 200, 200, 200]);
     expect(stack.engines[busy].scheduler.submitted).toEqual(submittedBefore);
-    expect(result.text).toEqual(renderWholeAnswer(100));
+    expect(result.text).toEqual(renderCompleteAnswer(100));
   });
 });
 
@@ -69,7 +70,7 @@
     // list although its agent does not drain.
     stack.hostList.setHosts([{id: 'engine-1', state: 'leaving'}]);
     await waitUntil(
-      async () => (await readUsable(stack))['engine-1'] === false,
+      async () => (await readTargetUsability(stack))['engine-1'] === false,
     );
     for (let i = 0; i < 4; i++) {
       const res = await postJson(
@@ -81,7 +82,9 @@
     }
     expect(stack.engines[0].scheduler.submitted).toEqual(0);
     stack.hostList.setHosts([{id: 'engine-1', state: 'live'}]);
-    await waitUntil(async () => (await readUsable(stack))['engine-1'] === true);
+    await waitUntil(
+      async () => (await readTargetUsability(stack))['engine-1'] === true,
+    );
   });
 });
 
@@ -102,7 +105,7 @@
     });
     await drained;
     expect(result.done).toEqual(true);
-    expect(result.text).toEqual(renderWholeAnswer(100));
+    expect(result.text).toEqual(renderCompleteAnswer(100));
   });
 });
 
--- a/packages/nutmeggauge/src/e2e/fencing.test.ts
+++ b/packages/nutmeggauge/src/e2e/fencing.test.ts
@@ -58,8 +58,8 @@
       const paused = await startAgentOrders();
       config.publish(buildRecord('m2'));
       const replacement = await startAgentOrders();
-      await replacement.orders.runRound();
-      await paused.orders.runRound();
+      await replacement.orders.runReconciliation();
+      await paused.orders.runReconciliation();
       expect(engine.orders.current.model).toEqual('m2');
       expect(engine.orders.applied.map(order => order.value)).toEqual(['m2']);
     });
@@ -69,12 +69,12 @@
       config.publish(buildRecord('m3'));
       const agent = await startAgentOrders();
       config.setMode('stale');
-      await agent.orders.runRound();
+      await agent.orders.runReconciliation();
       expect(engine.orders.current.model).toEqual('m2');
       expect(agent.counters.read()['orders.withheld']).toEqual(1);
       config.setMode('up');
       await waitUntil(async () => {
-        await agent.orders.runRound();
+        await agent.orders.runReconciliation();
         return engine.orders.current.model === 'm3';
       });
     });
--- a/packages/nutmeggauge/src/e2e/streams.test.ts
+++ b/packages/nutmeggauge/src/e2e/streams.test.ts
@@ -3,7 +3,7 @@
 import {
   TEST_AUTH,
   publishChatTargets,
-  renderWholeAnswer,
+  renderCompleteAnswer,
   startStack,
   streamCompletion,
   waitForGate,
@@ -49,7 +49,7 @@
     // Guards against an answer that mixes the tokens of two runs.
     const {result, letter} = await streamAndKillEngine(stack);
     expect(result.done).toEqual(true);
-    expect(result.text).toEqual(renderWholeAnswer(80, letter));
+    expect(result.text).toEqual(renderCompleteAnswer(80, letter));
   });
 });
 
@@ -69,7 +69,9 @@
     const {result, letter} = await streamAndKillEngine(stack);
     expect(result.done).toEqual(false);
     expect(result.error?.type).toEqual('outcome_unknown');
-    expect(renderWholeAnswer(80, letter).startsWith(result.text)).toEqual(true);
+    expect(renderCompleteAnswer(80, letter).startsWith(result.text)).toEqual(
+      true,
+    );
   });
 });
 
--- a/packages/nutmeggauge/src/e2e/subset.test.ts
+++ b/packages/nutmeggauge/src/e2e/subset.test.ts
@@ -1,6 +1,11 @@
 import {after, before, describe, it} from 'node:test';
 import {expect} from 'earl';
-import {countRuns, placeOrder, readUsable, startStack} from '../test/stack.js';
+import {
+  countExecutions,
+  placeOrder,
+  readTargetUsability,
+  startStack,
+} from '../test/stack.js';
 import type {Stack} from '../test/stack.js';
 
 describe('gate that connects to a subset of each pool', () => {
@@ -14,13 +19,13 @@
 
   it('sends every keyed order to its home agent, also when that agent is outside the subset', async () => {
     // Guards against a second home for keys whose home is outside the subset.
-    const linked = Object.keys(await readUsable(stack));
+    const linked = Object.keys(await readTargetUsability(stack));
     expect(linked.filter(id => id.startsWith('plain-')).length).toEqual(1);
     for (let i = 0; i < 8; i++) {
       const key = `o-subset-${i}`;
       expect((await placeOrder(stack, key)).status).toEqual(200);
       expect((await placeOrder(stack, key)).status).toEqual(200);
-      expect(countRuns(stack, key)).toEqual(1);
+      expect(countExecutions(stack, key)).toEqual(1);
     }
     const used = stack.plain.filter(service => service.executions.length > 0);
     expect(used.length).toBeGreaterThanOrEqual(2);
--- a/packages/nutmeggauge/src/load/run-plan.ts
+++ b/packages/nutmeggauge/src/load/run-plan.ts
@@ -26,7 +26,7 @@
    * Returns false while the load balancer has this gate out of rotation.
    * @default every gate is in rotation
    */
-  readonly isTaking?: (gateUrl: string) => boolean;
+  readonly isInRotation?: (gateUrl: string) => boolean;
   /**
    * HTTP connection pool of the callers.
    * @default undici's global dispatcher
@@ -61,10 +61,10 @@
  * is in rotation.
  */
 function pickGate(
-  {gateUrls, isTaking = () => true}: RunOptions,
+  {gateUrls, isInRotation = () => true}: RunOptions,
   position: number,
 ): string {
-  const inRotation = gateUrls.filter(isTaking);
+  const inRotation = gateUrls.filter(isInRotation);
   const candidates = inRotation.length === 0 ? gateUrls : inRotation;
   return candidates[position % candidates.length];
 }
--- a/packages/nutmeggauge/src/losses/gate-incarnations.test.ts
+++ b/packages/nutmeggauge/src/losses/gate-incarnations.test.ts
@@ -1,10 +1,15 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {InputFileError} from '../cli/errors.js';
-import {buildEnded, buildLine, T0, writeLog} from '../test/gate-lines.js';
+import {
+  buildRequestEndedLine,
+  buildLogLine,
+  LOG_START_MS,
+  writeLog,
+} from '../test/gate-lines.js';
 import {readGateLogs} from './gate-incarnations.js';
 
-const GATE_STARTED_LINE = buildLine(0, 'gate_started');
+const GATE_STARTED_LINE = buildLogLine(0, 'gate_started');
 const PROGRAM_STARTING_LINE = {level: 'info', event: 'program_starting'};
 
 function readLog(lines: Parameters<typeof writeLog>[0]) {
@@ -18,7 +23,7 @@
   return logs.incarnations.map(({proc, lines, servesFrom, hasSuccessor}) => ({
     proc,
     events: lines.map(({event}) => event),
-    from: servesFrom === undefined ? undefined : servesFrom - T0,
+    from: servesFrom === undefined ? undefined : servesFrom - LOG_START_MS,
     hasSuccessor,
   }));
 }
@@ -34,8 +39,8 @@
       '{"t": "late", "proc": "g1", "event": "request_ended"}',
       '{"level":"info","msg":"an engine"}',
       '[1, 2]',
-      buildEnded(500, 'q'),
-      JSON.stringify(buildEnded(900, 'r')).slice(0, 40),
+      buildRequestEndedLine(500, 'q'),
+      JSON.stringify(buildRequestEndedLine(900, 'r')).slice(0, 40),
     ]);
     expect(logs.incarnations[0].lines.map(({event}) => event)).toEqual([
       'gate_started',
@@ -61,8 +66,12 @@
       formatWithHost('h1', GATE_STARTED_LINE),
       formatWithHost('h2', startedG2),
       formatWithHost('h1', PROGRAM_STARTING_LINE),
-      formatWithHost('h2', {...startedG2, t: T0 + 10, event: 'config_applied'}),
-      formatWithHost('h1', {...GATE_STARTED_LINE, t: T0 + 900}),
+      formatWithHost('h2', {
+        ...startedG2,
+        t: LOG_START_MS + 10,
+        event: 'config_applied',
+      }),
+      formatWithHost('h1', {...GATE_STARTED_LINE, t: LOG_START_MS + 900}),
     ]);
     expect(describeIncarnations(logs)).toEqual([
       {proc: 'g1', events: ['gate_started'], from: 0, hasSuccessor: true},
@@ -83,8 +92,8 @@
       PROGRAM_STARTING_LINE,
       GATE_STARTED_LINE,
       PROGRAM_STARTING_LINE,
-      buildLine(890, 'config_applied'),
-      buildLine(900, 'gate_started'),
+      buildLogLine(890, 'config_applied'),
+      buildLogLine(900, 'gate_started'),
     ]);
     expect(describeIncarnations(logs)).toEqual([
       {proc: 'g1', events: ['gate_started'], from: 0, hasSuccessor: true},
@@ -104,8 +113,8 @@
       GATE_STARTED_LINE,
       {...GATE_STARTED_LINE, proc: 'g2'},
       PROGRAM_STARTING_LINE,
-      buildLine(5, 'config_applied'),
-      buildLine(900, 'gate_started'),
+      buildLogLine(5, 'config_applied'),
+      buildLogLine(900, 'gate_started'),
     ]);
     expect(describeIncarnations(logs).map(({from}) => from)).toEqual([
       0, 900, 0,
@@ -117,10 +126,10 @@
     // back.
     const logs = readLog([
       GATE_STARTED_LINE,
-      buildLine(70_000, 'config_applied'),
-      buildEnded(10_000, 'q'),
+      buildLogLine(70_000, 'config_applied'),
+      buildRequestEndedLine(10_000, 'q'),
     ]);
-    expect(logs.incarnations[0].lines.map(({t}) => t - T0)).toEqual([
+    expect(logs.incarnations[0].lines.map(({t}) => t - LOG_START_MS)).toEqual([
       0, 70_000, 10_000,
     ]);
     expect(logs.clockSteps).toEqual({g1: 1});
@@ -129,7 +138,7 @@
   it('keeps a line that two files contain only once, and counts it as repeated', () => {
     // Guards against counting requests twice when the same logs are given
     // twice.
-    const lines = [GATE_STARTED_LINE, buildEnded(500, 'q')];
+    const lines = [GATE_STARTED_LINE, buildRequestEndedLine(500, 'q')];
     const logs = readGateLogs([writeLog(lines), writeLog(lines)]);
     expect(logs.incarnations.length).toEqual(1);
     expect(logs.incarnations[0].lines.length).toEqual(2);
@@ -138,7 +147,7 @@
 
   it('keeps equal lines of one file as separate events', () => {
     // Two requests without an id can be refused in the same ms.
-    const refused = buildLine(7, 'request_refused', {reason: 'stopping'});
+    const refused = buildLogLine(7, 'request_refused', {reason: 'stopping'});
     const logs = readLog([GATE_STARTED_LINE, refused, refused]);
     expect(logs.incarnations[0].lines.length).toEqual(3);
     expect(logs.repeatedLines).toEqual(0);
@@ -147,10 +156,13 @@
   it('orders the files of one gate by their first timestamps', () => {
     // Guards against reading a rotated log after a newer one because of its
     // file name.
-    const older = writeLog([GATE_STARTED_LINE, buildEnded(500, 'q')]);
+    const older = writeLog([
+      GATE_STARTED_LINE,
+      buildRequestEndedLine(500, 'q'),
+    ]);
     const newer = writeLog([
-      buildLine(900, 'gate_started'),
-      buildEnded(1500, 'r'),
+      buildLogLine(900, 'gate_started'),
+      buildRequestEndedLine(1500, 'r'),
     ]);
     const logs = readGateLogs([newer, older]);
     expect(describeIncarnations(logs).map(({from}) => from)).toEqual([0, 900]);
--- a/packages/nutmeggauge/src/losses/judge-request.test.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.test.ts
@@ -1,29 +1,29 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {
-  buildEnded,
-  buildLine,
-  buildPlaced,
-  T0,
+  buildRequestEndedLine,
+  buildLogLine,
+  buildStreamPlacedLine,
+  LOG_START_MS,
   writeLog,
 } from '../test/gate-lines.js';
 import {readGateLogs} from './gate-incarnations.js';
 import {judgeRequests} from './summarize-losses.js';
-import type {LineFields} from '../test/gate-lines.js';
+import type {LogLineFields} from '../test/gate-lines.js';
 
 const OBJECTIVES = {
   routes: {chat: {ttftMs: 300, itlMs: 250}, orders: {ttftMs: 200}},
 };
 
-function judgeLog(lines: readonly LineFields[]) {
+function judgeLog(lines: readonly LogLineFields[]) {
   const logs = readGateLogs([
-    writeLog([buildLine(0, 'gate_started'), ...lines]),
+    writeLog([buildLogLine(0, 'gate_started'), ...lines]),
   ]);
   return judgeRequests(logs, OBJECTIVES);
 }
 
 /** Judges a log with exactly one request. */
-function judgeSingle(lines: readonly LineFields[]) {
+function judgeSingle(lines: readonly LogLineFields[]) {
   const requests = judgeLog(lines);
   expect(requests.length).toEqual(1);
   return requests[0];
@@ -34,8 +34,8 @@
     // Guards against blaming the prediction for the time for which the
     // placement of a prompt was deferred.
     const mispredicted = judgeSingle([
-      buildPlaced(10, 'q'),
-      buildEnded(900, 'q', {ms: 900, ttftMs: 600}),
+      buildStreamPlacedLine(10, 'q'),
+      buildRequestEndedLine(900, 'q', {ms: 900, ttftMs: 600}),
     ]);
     expect(mispredicted.cause).toEqual('late-mispredicted');
     expect(mispredicted.forecast).toEqual({
@@ -44,9 +44,9 @@
       factsAgeMs: 20,
     });
     const predictedLate = judgeSingle([
-      buildLine(5, 'stream_deferred', {requestId: 'q', predictedTtftMs: 80}),
-      buildPlaced(250, 'q'),
-      buildEnded(900, 'q', {ms: 900, ttftMs: 600}),
+      buildLogLine(5, 'stream_deferred', {requestId: 'q', predictedTtftMs: 80}),
+      buildStreamPlacedLine(250, 'q'),
+      buildRequestEndedLine(900, 'q', {ms: 900, ttftMs: 600}),
     ]);
     expect(predictedLate.cause).toEqual('late-predicted');
   });
@@ -54,10 +54,10 @@
   it('compares the time to first token with the prediction of the placement that produced it', () => {
     // Guards against a comparison with the prediction of a failed attempt.
     const {cause, forecast} = judgeSingle([
-      buildPlaced(10, 'q'),
-      buildLine(50, 'attempt_failed', {requestId: 'q', target: 'e1'}),
-      buildPlaced(60, 'q', {decoder: 'e2', predictedTtftMs: 500}),
-      buildEnded(900, 'q', {ms: 900, ttftMs: 600}),
+      buildStreamPlacedLine(10, 'q'),
+      buildLogLine(50, 'attempt_failed', {requestId: 'q', target: 'e1'}),
+      buildStreamPlacedLine(60, 'q', {decoder: 'e2', predictedTtftMs: 500}),
+      buildRequestEndedLine(900, 'q', {ms: 900, ttftMs: 600}),
     ]);
     expect(cause).toEqual('late-predicted');
     expect(forecast?.predictedMs).toEqual(560);
@@ -65,8 +65,8 @@
 
   it('judges a stream late by inter-token latency when its first token was in time', () => {
     const {cause, lost, worth} = judgeSingle([
-      buildPlaced(10, 'q'),
-      buildEnded(900, 'q', {ms: 900, ttftMs: 300, maxItlMs: 251}),
+      buildStreamPlacedLine(10, 'q'),
+      buildRequestEndedLine(900, 'q', {ms: 900, ttftMs: 300, maxItlMs: 251}),
     ]);
     expect(cause).toEqual('late-itl');
     expect(worth).toEqual(1.5);
@@ -75,8 +75,8 @@
 
   it('finds no loss when both latencies equal their objectives', () => {
     const {cause, lost} = judgeSingle([
-      buildPlaced(10, 'q'),
-      buildEnded(900, 'q', {ms: 900, ttftMs: 300, maxItlMs: 250}),
+      buildStreamPlacedLine(10, 'q'),
+      buildRequestEndedLine(900, 'q', {ms: 900, ttftMs: 300, maxItlMs: 250}),
     ]);
     expect(cause).toEqual(undefined);
     expect(lost).toEqual(0);
@@ -94,11 +94,13 @@
       caller_left: 'caller-left',
     } as const;
     for (const [outcome, cause] of Object.entries(ends)) {
-      const judged = judgeSingle([buildEnded(900, 'q', {outcome})]);
+      const judged = judgeSingle([buildRequestEndedLine(900, 'q', {outcome})]);
       expect(judged.cause).toEqual(cause);
       expect(judged.lost).toEqual(judged.worth);
     }
-    const failed = judgeSingle([buildEnded(900, 'q', {status: 500})]);
+    const failed = judgeSingle([
+      buildRequestEndedLine(900, 'q', {status: 500}),
+    ]);
     expect(failed.cause).toEqual('cut');
   });
 
@@ -106,12 +108,12 @@
     const call = {route: 'orders', kind: 'unsafe', tokens: undefined};
     const noTokenTimings = {ttftMs: undefined, maxItlMs: undefined};
     const late = judgeSingle([
-      buildEnded(900, 'q', {...call, ...noTokenTimings, ms: 201}),
+      buildRequestEndedLine(900, 'q', {...call, ...noTokenTimings, ms: 201}),
     ]);
     expect(late.cause).toEqual('late-unpredicted');
     expect(late.size).toEqual('-');
     const inTime = judgeSingle([
-      buildEnded(900, 'q', {...call, ...noTokenTimings, ms: 200}),
+      buildRequestEndedLine(900, 'q', {...call, ...noTokenTimings, ms: 200}),
     ]);
     expect(inTime.cause).toEqual(undefined);
   });
@@ -120,15 +122,18 @@
     // Guards against counting a request twice when a draining gate refuses it
     // and the caller retries it at another gate.
     const judged = judgeSingle([
-      buildLine(5, 'request_refused', {requestId: 'q', reason: 'stopping'}),
-      {...buildPlaced(20, 'q'), proc: 'g2'},
-      {...buildEnded(510, 'q'), proc: 'g2'},
+      buildLogLine(5, 'request_refused', {requestId: 'q', reason: 'stopping'}),
+      {...buildStreamPlacedLine(20, 'q'), proc: 'g2'},
+      {...buildRequestEndedLine(510, 'q'), proc: 'g2'},
     ]);
     expect(judged.cause).toEqual(undefined);
-    expect(judged.arrivedAt).toEqual(T0 + 5);
+    expect(judged.arrivedAt).toEqual(LOG_START_MS + 5);
     const refused = judgeSingle([
-      {...buildEnded(400, 'q', {outcome: 'overloaded'}), proc: 'g2'},
-      buildLine(600, 'request_refused', {requestId: 'q', reason: 'stopping'}),
+      {...buildRequestEndedLine(400, 'q', {outcome: 'overloaded'}), proc: 'g2'},
+      buildLogLine(600, 'request_refused', {
+        requestId: 'q',
+        reason: 'stopping',
+      }),
     ]);
     expect(refused.cause).toEqual('refused');
     // The attempt refused before routing has no route, so the other attempt
@@ -140,10 +145,10 @@
     // Guards against counting a request as lost that is still open at the end
     // of the log.
     const requests = judgeLog([
-      buildPlaced(10, 'placed', {tokens: 90_000}),
-      buildLine(20, 'stream_deferred', {requestId: 'kept'}),
-      buildLine(900, 'gate_started'),
-      buildPlaced(950, 'open'),
+      buildStreamPlacedLine(10, 'placed', {tokens: 90_000}),
+      buildLogLine(20, 'stream_deferred', {requestId: 'kept'}),
+      buildLogLine(900, 'gate_started'),
+      buildStreamPlacedLine(950, 'open'),
     ]);
     const short = requests.map(({requestId, cause, kind, isOpen}) => [
       requestId,
@@ -162,9 +167,9 @@
     // Guards against counting a request as lost when only the line of its end
     // was dropped from the log.
     const requests = judgeLog([
-      buildPlaced(10, 'unsaid'),
-      buildEnded(40_000, 'other'),
-      buildLine(41_000, 'gate_started'),
+      buildStreamPlacedLine(10, 'unsaid'),
+      buildRequestEndedLine(40_000, 'other'),
+      buildLogLine(41_000, 'gate_started'),
     ]);
     const requestWithoutEnd = requests.find(
       ({requestId}) => requestId === 'unsaid',
@@ -177,9 +182,9 @@
 
   it('assigns gate-ended to a request in progress at a gate that stops logging for good', () => {
     // Guards against missing a request that was lost with the host of its gate.
-    const held = buildPlaced(10, 'held');
+    const held = buildStreamPlacedLine(10, 'held');
     const buildLaterEnd = (ms: number) => ({
-      ...buildEnded(ms, 'other'),
+      ...buildRequestEndedLine(ms, 'other'),
       proc: 'g2',
     });
     expect(judgeLog([held, buildLaterEnd(11_000)])[0].cause).toEqual(
@@ -191,8 +196,8 @@
   it('reports no forecast when the clock was set back during the request', () => {
     // Guards against reporting a clock step as a forecast error.
     const {cause, forecast} = judgeSingle([
-      buildPlaced(40_000, 'q'),
-      buildEnded(10_900, 'q', {ms: 900, ttftMs: 600}),
+      buildStreamPlacedLine(40_000, 'q'),
+      buildRequestEndedLine(10_900, 'q', {ms: 900, ttftMs: 600}),
     ]);
     expect(forecast).toEqual(undefined);
     expect(cause).toEqual('late-unpredicted');
@@ -200,14 +205,21 @@
 
   it('judges no answer late on a route without an objective', () => {
     const judged = judgeSingle([
-      buildEnded(900, 'q', {route: 'toString', ms: 900, ttftMs: 800}),
+      buildRequestEndedLine(900, 'q', {
+        route: 'toString',
+        ms: 900,
+        ttftMs: 800,
+      }),
     ]);
     expect(judged.hasObjective).toEqual(false);
     expect(judged.cause).toEqual(undefined);
   });
 
   it('judges requests without an id as separate requests', () => {
-    const ends = [buildEnded(500, undefined), buildEnded(510, undefined)];
+    const ends = [
+      buildRequestEndedLine(500, undefined),
+      buildRequestEndedLine(510, undefined),
+    ];
     expect(judgeLog(ends).length).toEqual(2);
   });
 });
--- a/packages/nutmeggauge/src/losses/losses.test.ts
+++ b/packages/nutmeggauge/src/losses/losses.test.ts
@@ -10,9 +10,9 @@
   UnknownRequestError,
 } from '../cli/errors.js';
 import {
-  buildEnded,
-  buildLine,
-  buildPlaced,
+  buildRequestEndedLine,
+  buildLogLine,
+  buildStreamPlacedLine,
   writeLog,
   writeTestFile,
 } from '../test/gate-lines.js';
@@ -29,18 +29,21 @@
  * and a short late one.
  */
 const LOG_LINES = [
-  buildLine(0, 'gate_started'),
-  buildPlaced(1000, 'short', {decoder: 'e3'}),
-  buildPlaced(1010, 'good', {tokens: 300_000, decoder: 'e4'}),
-  buildPlaced(1050, 'long', {tokens: 90_000, helpers: ['e2', 'e<3>']}),
-  buildEnded(1800, 'short', {target: 'e3', ms: 800, ttftMs: 500}),
-  buildEnded(2000, 'good', {
+  buildLogLine(0, 'gate_started'),
+  buildStreamPlacedLine(1000, 'short', {decoder: 'e3'}),
+  buildStreamPlacedLine(1010, 'good', {tokens: 300_000, decoder: 'e4'}),
+  buildStreamPlacedLine(1050, 'long', {
+    tokens: 90_000,
+    helpers: ['e2', 'e<3>'],
+  }),
+  buildRequestEndedLine(1800, 'short', {target: 'e3', ms: 800, ttftMs: 500}),
+  buildRequestEndedLine(2000, 'good', {
     tokens: 300_000,
     target: 'e4',
     ms: 990,
     ttftMs: 200,
   }),
-  buildEnded(2900, 'long', {tokens: 90_000, ms: 1900, ttftMs: 700}),
+  buildRequestEndedLine(2900, 'long', {tokens: 90_000, ms: 1900, ttftMs: 700}),
 ];
 
 function createOutputPaths() {
@@ -91,11 +94,11 @@
 
   it('ends the prefill span of an engine when its attempt fails', () => {
     const lines = [
-      buildLine(0, 'gate_started'),
-      buildPlaced(1000, 'q'),
-      buildLine(1100, 'attempt_failed', {requestId: 'q', target: 'e1'}),
-      buildPlaced(1110, 'q', {decoder: 'e2'}),
-      buildEnded(2000, 'q', {target: 'e2', ms: 1000, ttftMs: 500}),
+      buildLogLine(0, 'gate_started'),
+      buildStreamPlacedLine(1000, 'q'),
+      buildLogLine(1100, 'attempt_failed', {requestId: 'q', target: 'e1'}),
+      buildStreamPlacedLine(1110, 'q', {decoder: 'e2'}),
+      buildRequestEndedLine(2000, 'q', {target: 'e2', ms: 1000, ttftMs: 500}),
     ];
     const requests = judgeRequests(readGateLogs([writeLog(lines)]), {
       routes: {},
@@ -115,9 +118,9 @@
     const id = '<script>alert(1)</script>';
     const outputs = createOutputPaths();
     const lines = [
-      buildLine(0, 'gate_started'),
-      buildPlaced(10, id, {decoder: '<b>'}),
-      buildEnded(900, id, {route: '<i>', target: '<b>'}),
+      buildLogLine(0, 'gate_started'),
+      buildStreamPlacedLine(10, id, {decoder: '<b>'}),
+      buildRequestEndedLine(900, id, {route: '<i>', target: '<b>'}),
     ];
     runLosses({paths: [writeLog(lines)], ...outputs});
     const page = readFileSync(outputs.html, 'utf8');
@@ -166,7 +169,9 @@
 
   it('ignores a logged duration of 270,000 years', () => {
     // Guards against an arrival time that cannot be formatted as a date.
-    const lines = [buildEnded(0, 'q', {outcome: 1, ms: -8640000000002000})];
+    const lines = [
+      buildRequestEndedLine(0, 'q', {outcome: 1, ms: -8640000000002000}),
+    ];
     const text = runLosses({paths: [writeLog(lines)]});
     expect(text).toInclude('1 requests');
   });
--- a/packages/nutmeggauge/src/losses/summaries.test.ts
+++ b/packages/nutmeggauge/src/losses/summaries.test.ts
@@ -1,20 +1,20 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {
-  buildEnded,
-  buildLine,
-  buildPlaced,
-  T0,
+  buildRequestEndedLine,
+  buildLogLine,
+  buildStreamPlacedLine,
+  LOG_START_MS,
   writeLog,
 } from '../test/gate-lines.js';
 import {readGateLogs} from './gate-incarnations.js';
 import {judgeRequests, summarizeLosses} from './summarize-losses.js';
-import type {LineFields} from '../test/gate-lines.js';
+import type {LogLineFields} from '../test/gate-lines.js';
 
 const OBJECTIVES = {routes: {chat: {ttftMs: 300, itlMs: 250}}};
 
-function summarizeLog(lines: readonly LineFields[]) {
-  const logFile = writeLog([buildLine(0, 'gate_started'), ...lines]);
+function summarizeLog(lines: readonly LogLineFields[]) {
+  const logFile = writeLog([buildLogLine(0, 'gate_started'), ...lines]);
   const logs = readGateLogs([logFile]);
   return summarizeLosses(logs, judgeRequests(logs, OBJECTIVES));
 }
@@ -27,12 +27,12 @@
   ms: number,
   id: string,
   ttftMs: number,
-  placed: LineFields = {},
-  ended: LineFields = {},
-): readonly LineFields[] {
+  placed: LogLineFields = {},
+  ended: LogLineFields = {},
+): readonly LogLineFields[] {
   return [
-    buildPlaced(ms, id, placed),
-    buildEnded(ms + 2000, id, {ms: 2000, ttftMs, ...ended}),
+    buildStreamPlacedLine(ms, id, placed),
+    buildRequestEndedLine(ms + 2000, id, {ms: 2000, ttftMs, ...ended}),
   ];
 }
 
@@ -48,7 +48,7 @@
         {tokens: 90_000, predictedTtftMs: 800},
         {tokens: 90_000},
       ),
-      buildEnded(500, 'd', {outcome: 'too_late', tokens: 90_000}),
+      buildRequestEndedLine(500, 'd', {outcome: 'too_late', tokens: 90_000}),
     ]);
     expect(kinds.map(kind => [kind.size, kind.requests, kind.lost])).toEqual([
       ['32k-100k', 2, 17.5],
@@ -94,7 +94,7 @@
       ...buildStream(4200, 'c', 600),
       ...buildStream(8100, 'd', 100),
     ]);
-    expect(windows.map(({from, lost}) => [from - T0, lost])).toEqual([
+    expect(windows.map(({from, lost}) => [from - LOG_START_MS, lost])).toEqual([
       [4000, 2.25],
       [0, 1.125],
     ]);
@@ -112,9 +112,9 @@
         {target: 'e2'},
       ),
       ...buildStream(20, 'c', 100, {}, {target: 'e2', maxItlMs: 900}),
-      buildLine(30, 'attempt_failed', {requestId: 'd', target: 'e1'}),
+      buildLogLine(30, 'attempt_failed', {requestId: 'd', target: 'e1'}),
       ...buildStream(40, 'd', 100),
-      buildEnded(900, 'e', {kind: 'safe', target: 'plain-1'}),
+      buildRequestEndedLine(900, 'e', {kind: 'safe', target: 'plain-1'}),
     ]);
     expect(engines.map(e => [e.target, e.answers, e.late, e.lateItl])).toEqual([
       ['e2', 2, 2, 1],
@@ -130,16 +130,18 @@
     // starts again 500 ms later. Then it drains, fails to start once, and
     // starts 1,000 ms after the drain.
     const {gaps, estimatedNoGate} = summarizeLog([
-      buildEnded(400, 'a', {ms: 100}),
-      buildEnded(1000, 'b', {ms: 100}),
-      buildLine(1500, 'gate_started'),
-      buildLine(2500, 'drain_finished'),
+      buildRequestEndedLine(400, 'a', {ms: 100}),
+      buildRequestEndedLine(1000, 'b', {ms: 100}),
+      buildLogLine(1500, 'gate_started'),
+      buildLogLine(2500, 'drain_finished'),
       {level: 'info', event: 'program_starting'},
-      buildLine(2900, 'gate_start_failed'),
+      buildLogLine(2900, 'gate_start_failed'),
       {level: 'info', event: 'program_starting'},
-      buildLine(3500, 'gate_started'),
+      buildLogLine(3500, 'gate_started'),
     ]);
-    expect(gaps.map(gap => [gap.from - T0, gap.ms, gap.hasDrained])).toEqual([
+    expect(
+      gaps.map(gap => [gap.from - LOG_START_MS, gap.ms, gap.hasDrained]),
+    ).toEqual([
       [1000, 500, false],
       [2500, 1000, true],
     ]);
@@ -150,18 +152,18 @@
 
   it('reports a gap of 0 ms when the clock was set back between two incarnations', () => {
     const {gaps} = summarizeLog([
-      buildLine(60_000, 'config_applied'),
-      buildLine(10_000, 'gate_started'),
+      buildLogLine(60_000, 'config_applied'),
+      buildLogLine(10_000, 'gate_started'),
     ]);
     expect(gaps.map(({ms}) => ms)).toEqual([0]);
   });
 
   it('counts dropped lines, open requests and missing forecasts, and lists routes without an objective', () => {
     const {coverage} = summarizeLog([
-      buildLine(5, 'log_lines_dropped', {lines: 7}),
+      buildLogLine(5, 'log_lines_dropped', {lines: 7}),
       // The placement of this request is among the dropped lines.
-      buildEnded(900, 'a', {route: 'other'}),
-      buildPlaced(950, 'b'),
+      buildRequestEndedLine(900, 'a', {route: 'other'}),
+      buildStreamPlacedLine(950, 'b'),
     ]);
     expect(coverage.droppedLines).toEqual(7);
     expect(coverage.withoutForecast).toEqual(1);
--- a/packages/nutmeggauge/src/soak/cluster-soak.ts
+++ b/packages/nutmeggauge/src/soak/cluster-soak.ts
@@ -110,8 +110,8 @@
     runPlan(plan, {
       gateUrls: cluster.gateUrls,
       // A load balancer knows of planned stops and sends such gates no requests.
-      isTaking: url =>
-        cluster.isStaying(gateNames[cluster.gateUrls.indexOf(url)]),
+      isInRotation: url =>
+        cluster.isActive(gateNames[cluster.gateUrls.indexOf(url)]),
       deadlineMs: DEADLINE_MS,
       sharedPrefixTokens: FAULT_WORKLOAD.sharedPrefixTokens,
       dispatcher,
--- a/packages/nutmeggauge/src/soak/gate-process.ts
+++ b/packages/nutmeggauge/src/soak/gate-process.ts
@@ -2,7 +2,7 @@
 import {spawn} from 'node:child_process';
 import {createWriteStream, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
-import {readRunWords, renderSettings} from '@nutmeggauge/platform';
+import {readGateArgs, renderSettings} from '@nutmeggauge/platform';
 import pidusage from 'pidusage';
 import type {ChildProcess} from 'node:child_process';
 import type {GateAddresses} from '@nutmeggauge/platform';
@@ -70,7 +70,7 @@
     if (this.isClosed) return;
     const {node} = this.addresses;
     writeFileSync(this.settingsPath, renderSettings(this.addresses));
-    const child = spawn(process.execPath, readRunWords(DEPLOY_FILE), {
+    const child = spawn(process.execPath, readGateArgs(DEPLOY_FILE), {
       stdio: ['ignore', 'pipe', 'pipe'],
       env: {...process.env, NUTMEGGAUGE_CONFIG: this.settingsPath},
     });
--- a/packages/nutmeggauge/src/soak/soak-harness.ts
+++ b/packages/nutmeggauge/src/soak/soak-harness.ts
@@ -128,7 +128,9 @@
       ...this.slots.map(({standin}) => standin),
       ...this.replacedTargets,
     ].flatMap(standin =>
-      standin.listHeld().map(reservation => `${standin.id}/${reservation}`),
+      standin
+        .listHeldReservations()
+        .map(reservation => `${standin.id}/${reservation}`),
     );
   }
 
@@ -163,7 +165,10 @@
         return this.applyInstantFault(() => this.store.dropHistory());
       case 'store-restore':
         return this.applyInstantFault(() =>
-          this.store.restore({ageMs: action.ageMs, awayMs: RESTORE_OUTAGE_MS}),
+          this.store.restore({
+            ageMs: action.ageMs,
+            outageMs: RESTORE_OUTAGE_MS,
+          }),
         );
       case 'store-link':
         return this.setLinkMode(this.gates[action.gate].storeLink, action.mode);
--- a/packages/nutmeggauge/src/test/gate-lines.ts
+++ b/packages/nutmeggauge/src/test/gate-lines.ts
@@ -4,37 +4,37 @@
 import {join} from 'node:path';
 
 /** Fields of a log line. */
-export type LineFields = Readonly<Record<string, unknown>>;
+export type LogLineFields = Readonly<Record<string, unknown>>;
 
 /** Timestamp at which the logs of tests start, in ms since the epoch. */
-export const T0 = 1_800_000_000_000;
+export const LOG_START_MS = 1_800_000_000_000;
 
 /**
  * Builds a log line that gate `g1` writes `ms` after the start of the log.
  *
  * @example
- * buildLine(0, 'gate_started', {zone: 'a'});
+ * buildLogLine(0, 'gate_started', {zone: 'a'});
  */
-export function buildLine(
+export function buildLogLine(
   ms: number,
   event: string,
-  fields: LineFields = {},
-): LineFields {
-  return {t: T0 + ms, proc: 'g1', level: 'info', event, ...fields};
+  fields: LogLineFields = {},
+): LogLineFields {
+  return {t: LOG_START_MS + ms, proc: 'g1', level: 'info', event, ...fields};
 }
 
 /**
  * Builds the log line of a stream that was placed on engines.
  *
  * @example
- * buildPlaced(10, 'q', {tokens: 90_000, helpers: ['e2']});
+ * buildStreamPlacedLine(10, 'q', {tokens: 90_000, helpers: ['e2']});
  */
-export function buildPlaced(
+export function buildStreamPlacedLine(
   ms: number,
   requestId: string,
-  fields: LineFields = {},
-): LineFields {
-  return buildLine(ms, 'stream_placed', {
+  fields: LogLineFields = {},
+): LogLineFields {
+  return buildLogLine(ms, 'stream_placed', {
     requestId,
     attempt: 1,
     tokens: 5000,
@@ -51,14 +51,14 @@
  * Builds the log line of a stream that ended.
  *
  * @example
- * buildEnded(900, 'q', {ms: 900, ttftMs: 400});
+ * buildRequestEndedLine(900, 'q', {ms: 900, ttftMs: 400});
  */
-export function buildEnded(
+export function buildRequestEndedLine(
   ms: number,
   requestId: string | undefined,
-  fields: LineFields = {},
-): LineFields {
-  return buildLine(ms, 'request_ended', {
+  fields: LogLineFields = {},
+): LogLineFields {
+  return buildLogLine(ms, 'request_ended', {
     requestId,
     route: 'chat',
     kind: 'stream',
@@ -106,9 +106,9 @@
  *
  * @returns Path of the file.
  * @example
- * writeLog([buildLine(0, 'gate_started'), '{"t": 12']);
+ * writeLog([buildLogLine(0, 'gate_started'), '{"t": 12']);
  */
-export function writeLog(lines: ReadonlyArray<LineFields | string>): string {
+export function writeLog(lines: ReadonlyArray<LogLineFields | string>): string {
   const texts = lines.map(line =>
     typeof line === 'string' ? line : JSON.stringify(line),
   );
--- a/packages/nutmeggauge/src/test/protocol-harness.ts
+++ b/packages/nutmeggauge/src/test/protocol-harness.ts
@@ -6,7 +6,7 @@
  */
 import {setImmediate as waitImmediate} from 'node:timers/promises';
 import {
-  Intake,
+  DispatchHandler,
   TargetClient,
   createKeyOwnership,
   createLanes,
@@ -27,7 +27,7 @@
   createRetryBudget,
 } from '@nutmeggauge/gate';
 import type {
-  ChunkNotice,
+  ChunkNotification,
   DispatchOutcome,
   DispatchRequest,
 } from '@nutmeggauge/core';
@@ -99,7 +99,7 @@
   chunksToDrop = 0;
   readonly runs: Array<{readonly requestId: string; readonly key?: string}> =
     [];
-  dispatchHandler!: Intake;
+  dispatchHandler!: DispatchHandler;
   /** Aborted when the current incarnation of the agent is killed, to close its links. */
   private incarnationController = new AbortController();
   private target!: HarnessTarget;
@@ -150,7 +150,7 @@
 
   async receive(
     request: DispatchRequest,
-    onChunk: (notice: ChunkNotice) => void,
+    onChunk: (notice: ChunkNotification) => void,
   ): Promise<DispatchOutcome> {
     await this.waitUntilThawed();
     return this.dispatchHandler.dispatch(request, this, onChunk);
@@ -164,7 +164,7 @@
       retainMs: RETAIN_MS,
     });
     this.ownership.applyTargets(POOL, this.record.ids, Date.now());
-    this.dispatchHandler = new Intake({
+    this.dispatchHandler = new DispatchHandler({
       target: this.target,
       lanes: createLanes({short: 2, long: 1}),
       ledger: createLedger({retainMs: RETAIN_MS}),
@@ -172,7 +172,7 @@
       counters: createCounters(),
       shortMaxTokens: 100,
       readRecordVersion: () => this.record.version,
-      onWorkChange: () => {},
+      onLoadChange: () => {},
     });
   }
 }
@@ -196,18 +196,18 @@
 
   async dispatch(
     request: DispatchRequest,
-    onChunk: (notice: ChunkNotice) => void,
+    onChunk: (notice: ChunkNotification) => void,
     bounds: DispatchBounds,
   ): Promise<DispatchOutcome> {
     const {host} = this;
     if (host.isCut) throw new TargetUnreachableError({}, 'link is cut');
     const incarnationSignal = host.incarnationSignal;
     const responseTimeoutMs =
-      host.isFrozen && bounds.acceptMs !== undefined
-        ? bounds.acceptMs
-        : bounds.answerMs;
+      host.isFrozen && bounds.ackTimeoutMs !== undefined
+        ? bounds.ackTimeoutMs
+        : bounds.answerTimeoutMs;
     let hasEnded = false;
-    const deliver = (notice: ChunkNotice) => {
+    const deliver = (notice: ChunkNotification) => {
       if (host.chunksToDrop > 0) {
         host.chunksToDrop--;
         return;
@@ -353,7 +353,7 @@
         keyMintedAt: isKeyed ? this.keyCreationTimes.get(keyIndex) : undefined,
         recordVersion: gate.record.version,
       },
-      route: {promptTokens: 1, maxTokens: 3, isLong: false, prefixes: []},
+      route: {promptTokens: 1, maxTokens: 3, isLongPrompt: false, prefixes: []},
       resumable: true,
       chunks,
       signal: new AbortController().signal,
--- a/packages/nutmeggauge/src/test/stack.ts
+++ b/packages/nutmeggauge/src/test/stack.ts
@@ -23,7 +23,7 @@
 } from '@nutmeggauge/standins';
 
 export const TEST_KEY = 'test-key-0001';
-export const OTHER_KEY = 'test-key-0002';
+export const SECOND_ACCOUNT_KEY = 'test-key-0002';
 
 export interface Stack {
   readonly gateUrl: string;
@@ -121,7 +121,7 @@
       },
       {
         id: 'acct-b',
-        keys: [OTHER_KEY],
+        keys: [SECOND_ACCOUNT_KEY],
         pools: ['chat'],
         ratePerSecond: 1000,
         maxConcurrent: 1000,
@@ -200,7 +200,7 @@
 }
 
 /** Counts the runs of the order with `key` at all plain services. */
-export function countRuns(stack: Stack, key: string): number {
+export function countExecutions(stack: Stack, key: string): number {
   return stack.plain
     .flatMap(service => service.executions)
     .filter(execution => execution.ledgerKey === `acct-a:${key}`).length;
@@ -221,7 +221,7 @@
 }
 
 /** Reads which targets are usable according to the gate, by target id. */
-export async function readUsable(
+export async function readTargetUsability(
   stack: Stack,
 ): Promise<Record<string, boolean>> {
   const {targets} = await readAdmin<{
@@ -346,7 +346,7 @@
 }
 
 /** Renders the complete text that an engine stand-in with this letter generates for `n` tokens. */
-export function renderWholeAnswer(n: number, letter = 't'): string {
+export function renderCompleteAnswer(n: number, letter = 't'): string {
   return Array.from({length: n}, (_, i) => ` ${letter}${i}`).join('');
 }
 
