--- a/packages/direct/src/admission/admission-queue.ts
+++ b/packages/direct/src/admission/admission-queue.ts
@@ -58,7 +58,7 @@
  * Admission queue of one gate for one service.
  *
  * @example
- * const outcome = await queue.enter(entry, left);
+ * const outcome = await queue.enter(entry, signal);
  */
 export class AdmissionQueue {
   private waiting: QueuedStream[] = [];
--- a/packages/direct/src/forward/call-forwarder.test.ts
+++ b/packages/direct/src/forward/call-forwarder.test.ts
@@ -11,10 +11,10 @@
 
 const dropConnection: TargetScript = req => req.socket.destroy();
 
-/** Runs `check` with two targets whose scripts are `a` and `b`. */
+/** Runs `check` with a gate and two targets that run the given scripts. */
 async function checkWithTargets(
-  a: TargetScript,
-  b: TargetScript,
+  firstScript: TargetScript,
+  secondScript: TargetScript,
   check: (
     harness: GateHarness,
     counts: () => readonly number[],
@@ -22,8 +22,8 @@
 ): Promise<void> {
   const harness = await openGateHarness();
   try {
-    const first = await harness.addTarget('a', 'orders', a);
-    const second = await harness.addTarget('b', 'orders', b);
+    const first = await harness.addTarget('a', 'orders', firstScript);
+    const second = await harness.addTarget('b', 'orders', secondScript);
     await harness.waitUntil(() => isListed(harness, 2));
     await check(harness, () => [first.received.length, second.received.length]);
   } finally {
@@ -73,7 +73,7 @@
     );
   });
 
-  it('retries a safe call whose response was truncated', async () => {
+  it('retries a safe call whose response was truncated, then responds with 502', async () => {
     // Guards against a truncated response that is forwarded as complete.
     const sendTruncated: TargetScript = (req, res) => {
       res.writeHead(200, {...buildSignedHead(req), 'content-length': '100'});
@@ -147,7 +147,7 @@
     });
   });
 
-  it('responds with 504 to an unsafe call without a response at its deadline', async () => {
+  it('responds with 504 to an unsafe call that has no response at its deadline', async () => {
     const hang: TargetScript = () => undefined;
     await checkWithTargets(hang, hang, async harness => {
       const answer = await harness.call('/unsafe/order', {
--- a/packages/direct/src/forward/call-forwarder.ts
+++ b/packages/direct/src/forward/call-forwarder.ts
@@ -190,7 +190,7 @@
     this.giveUpIfIdle('unsent');
   }
 
-  /** Ends the call without a further attempt, unless one is still running. */
+  /** Ends the call without a further attempt if no attempt is running. */
   private giveUpIfIdle(why: string): void {
     if (this.open.size > 0 || this.isSettled) return;
     if (this.fallbackResponse !== undefined)
--- a/packages/direct/src/forward/kv-lease.ts
+++ b/packages/direct/src/forward/kv-lease.ts
@@ -17,11 +17,11 @@
 
 /**
  * Number of consecutive unanswered polls after which renewals stop, as the
- * lease expires before the next one.
+ * lease expires before the next renewal.
  */
 const MAX_MISSED_POLLS = 2;
 
-/** Reservation that is held on one target. */
+/** Reservation of KV cache that is held on one target. */
 export interface LeasedReservation {
   readonly target: Target;
   readonly ticket: string;
@@ -37,7 +37,7 @@
 
 /**
  * KV cache reservations of one prompt, renewed only while the decoding engine
- * is alive. An open connection does not show that: an engine that loses power
+ * is alive. An open connection does not prove that: an engine that loses power
  * resets no connection, and the first token of a long prompt may take many
  * seconds.
  *
@@ -119,8 +119,8 @@
 
 /**
  * Reserves KV cache on all targets or on none. If one reservation fails, all
- * except refused ones are released, including those without a reply, which may
- * have been granted.
+ * reservations that were not refused are released, including unanswered ones,
+ * as the target may have granted them.
  *
  * @returns The lease; undefined if a reservation was not granted.
  * @example
--- a/packages/direct/src/forward/late-errors.test.ts
+++ b/packages/direct/src/forward/late-errors.test.ts
@@ -239,7 +239,7 @@
     this.resetsLeft = 0;
   }
 
-  /** Returns the highest number of times that a request reached a target. */
+  /** Returns how often a request to `path` reached a target at most. */
   countMaxRuns(path: string): number {
     const runs = new Map<string, number>();
     for (const id of this.received)
--- a/packages/direct/src/forward/open-exchanges.ts
+++ b/packages/direct/src/forward/open-exchanges.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks running exchanges by the address of their target. A server that loses
- * power resets no connection; a new server at the same address shows that it is
- * gone.
+ * power resets no connection; a new server at the same address shows that the
+ * earlier server has ended.
  */
 import {isNewer} from '../fleet/fact-position.js';
 import {openExchange} from './exchange.js';
@@ -40,7 +40,7 @@
 
   /**
    * Fails the exchanges with servers that used the address of `target` before
-   * it.
+   * this target did.
    */
   endReplaced(target: Target): void {
     const sameAddress = this.byAddress.get(formatAddress(target)) ?? [];
--- a/packages/direct/src/forward/retry-after.ts
+++ b/packages/direct/src/forward/retry-after.ts
@@ -1,4 +1,4 @@
-/** Chooses Retry-After for requests that did not run. */
+/** Chooses the Retry-After delay of requests that did not run. */
 
 /** Shortest base delay, in ms: several iterations of a busy engine. */
 const MIN_RETRY_AFTER_MS = 350;
@@ -10,7 +10,7 @@
  * @param queueMs - Predicted time until the queue is empty, in ms.
  * @param leftMs - Time until the caller's deadline, in ms.
  * @example
- * chooseReturnMs(0, 9000); // between 350 and 700
+ * chooseRetryAfterMs(0, 9000); // between 350 and 700
  */
 export function chooseRetryAfterMs(queueMs: number, leftMs: number): number {
   const base = Math.max(MIN_RETRY_AFTER_MS, queueMs);
--- a/packages/direct/src/forward/slot-finder.ts
+++ b/packages/direct/src/forward/slot-finder.ts
@@ -43,7 +43,8 @@
   /**
    * Finds engines for the next attempt.
    *
-   * @param mayExceedSlots - True to use an engine even if all its slots are taken.
+   * @param mayExceedSlots - True to use an engine even if all its slots are
+   *   taken.
    * @param signal - Aborted when no engine is needed any more; a slot that was
    *   found by then is released.
    */
@@ -59,8 +60,8 @@
   }
 
   /**
-   * Waits while placing the prompt now would cost other prompts more than it
-   * gains.
+   * Waits while placing the prompt now would cost other prompts more than this
+   * prompt gains.
    */
   private async waitForSendTime(
     mayExceedSlots: boolean,
--- a/packages/direct/src/forward/stall-timer.ts
+++ b/packages/direct/src/forward/stall-timer.ts
@@ -24,7 +24,7 @@
 
 /**
  * Shortest first-token timeout of a prompt with a long prefill, as a multiple
- * of the objective. Newer prompts preempt its prefill, and a second prefill
+ * of the objective. Newer prompts preempt a long prefill, and a second prefill
  * would add load when load is highest.
  */
 const LONG_PREFILL_OBJECTIVE_FACTOR = 1.75;
@@ -37,7 +37,7 @@
  * @param prefillMs - Prefill time of the prompt on one idle engine, in ms.
  * @param objectiveMs - Objective for the time to first token, in ms.
  * @example
- * countTtftLimitMs(400, 1500, 3000); // 5250
+ * chooseTtftTimeoutMs(400, 1500, 3000); // 5250
  */
 export function chooseTtftTimeoutMs(
   predictedTtftMs: number,
--- a/packages/direct/src/forward/stream-attempt.ts
+++ b/packages/direct/src/forward/stream-attempt.ts
@@ -61,11 +61,11 @@
   readonly progress: StreamProgress;
   /** Unique name of the attempt, used as the ticket of its reservations. */
   readonly name: string;
-  /** Returns true if another attempt may start or is running. */
+  /** Returns true if another attempt is running or may be started. */
   readonly isBackupPossible: () => boolean;
   /**
    * Starts an attempt at another engine; this attempt continues until the other
-   * one forwards its first event.
+   * attempt forwards its first event.
    */
   readonly startBackup: () => void;
   /**
--- a/packages/direct/src/forward/stream-forwarder.test.ts
+++ b/packages/direct/src/forward/stream-forwarder.test.ts
@@ -58,7 +58,7 @@
   setTimeout(() => res.end(formatEvents(3, 6)), 1800);
 };
 
-/** Returns a predicate for log lines of the placement of a request. */
+/** Returns a predicate that matches log lines of placements of a request. */
 function isPlaced(requestId: string): (line: string) => boolean {
   return line =>
     line.includes('"stream_placed"') && line.includes(`"${requestId}"`);
@@ -156,7 +156,7 @@
     }
   });
 
-  it('runs a stream that cannot be resumed only once', async () => {
+  it('runs a stream only once if it cannot be resumed', async () => {
     const harness = await openStreams([req => req.socket.destroy()], false);
     try {
       const answer = await harness.call('/stream/x', {tokens: 1000});
--- a/packages/direct/src/forward/stream-forwarder.ts
+++ b/packages/direct/src/forward/stream-forwarder.ts
@@ -170,7 +170,10 @@
     );
   }
 
-  /** Returns false for a stream that cannot be resumed: it runs only once. */
+  /**
+   * Returns false if all attempts are used, or for a stream that cannot be
+   * resumed, which runs only once.
+   */
   private isRetryAllowed(): boolean {
     const {isResumable, maxAttempts} = this.request.route;
     return isResumable && this.sentAttempts < maxAttempts;
@@ -178,7 +181,7 @@
 
   /**
    * Starts a backup chain for a stalled one if the retry budget and the
-   * deadline allow it. The chain that delivers the next event first claims the
+   * deadline allow it. Whichever chain receives the next event first claims the
    * response.
    */
   private startBackup(silent: AttemptChain, placed: PlacedPrompt): void {
@@ -236,7 +239,7 @@
 
   /**
    * Counts an attempt that sent no request and therefore does not count against
-   * the attempt limit; gives up after too many of them.
+   * the attempt limit; gives up after MAX_UNSENT_ATTEMPTS.
    */
   private countUnsent(chain: AttemptChain): void {
     this.sentAttempts--;
--- a/packages/direct/src/forward/stream-progress.ts
+++ b/packages/direct/src/forward/stream-progress.ts
@@ -9,7 +9,7 @@
  * progress.recordEvent(event.id, performance.now());
  */
 export class StreamProgress {
-  /** True once the response head is sent; no error status is possible then. */
+  /** True once the response head is sent, which rules out an error status. */
   hasHead = false;
   /** True if the end of the connection marks the end of the response. */
   isUnframed = false;
--- a/packages/direct/src/health/engine-slowdowns.test.ts
+++ b/packages/direct/src/health/engine-slowdowns.test.ts
@@ -9,14 +9,14 @@
 
 function createSlowdowns(assignedIds: readonly string[] = ['e1', 'e2']) {
   const reports = new FakeReports();
-  const told: EngineSlowdown[] = [];
+  const changes: EngineSlowdown[] = [];
   let now = 0;
   const output = new Writable({write: (_chunk, _encoding, done) => done()});
   const slowdowns = new EngineSlowdowns({
     reports,
     listEngines: () => ['e1', 'e2', 'e3'].map(id => buildTarget(id, 1)),
     isAssigned: ({id}) => assignedIds.includes(id),
-    onSlowdown: slowdown => told.push(slowdown),
+    onSlowdown: slowdown => changes.push(slowdown),
     log: createDecisionLog({proc: 'g', output, readWallMs: () => now}),
     readNow: () => now,
   });
@@ -25,14 +25,14 @@
     slowdowns.askAssignedEngines();
     await new Promise(resolve => setImmediate(resolve));
   };
-  return {reports, told, slowdowns, runFor};
+  return {reports, changes, slowdowns, runFor};
 }
 
 describe('EngineSlowdowns', () => {
   it('reports an engine that becomes slow, and its return to normal speed', async () => {
     // Guards against an undetected slow engine, which delays every long prompt
     // of which it prefills a shard.
-    const {reports, told, slowdowns, runFor} = createSlowdowns();
+    const {reports, changes, slowdowns, runFor} = createSlowdowns();
     reports.slowdowns.set('e1', 3.4);
     reports.slowdowns.set('e2', 1);
     await runFor(1000);
@@ -41,7 +41,7 @@
     expect(slowdowns.listAssigned()).toEqual([{target: 'e1', slowdown: 3.4}]);
     reports.slowdowns.set('e1', 1.02);
     await runFor(1000);
-    expect(told).toEqual([
+    expect(changes).toEqual([
       {target: 'e1', slowdown: 3.4},
       {target: 'e1', slowdown: 1},
     ]);
--- a/packages/direct/src/health/engine-slowdowns.ts
+++ b/packages/direct/src/health/engine-slowdowns.ts
@@ -31,7 +31,7 @@
   readonly reports: EngineReports;
   /** Lists the engines that may receive work; empty while there is no work. */
   readonly listEngines: () => readonly Target[];
-  /** Checks whether this gate is the one that polls a target. */
+  /** Checks whether this gate, and not a peer, polls a target. */
   readonly isAssigned: (target: Target) => boolean;
   /** Called when the slowdown of an engine changes. */
   readonly onSlowdown: (slowdown: EngineSlowdown) => void;
@@ -74,8 +74,8 @@
 
   /** Lists the slow engines that this gate polls, to be sent to its peers. */
   listAssigned(): readonly EngineSlowdown[] {
-    // Skips the filter below: finding the gate that polls an engine computes
-    // one hash per gate.
+    // Returns early because checking which gate polls an engine computes one
+    // hash per gate.
     if (this.reportByTarget.size === 0) return [];
     return this.options
       .listEngines()
--- a/packages/direct/src/health/target-health.ts
+++ b/packages/direct/src/health/target-health.ts
@@ -1,7 +1,7 @@
 /**
  * Passive health checks: consecutive failures suspend a target temporarily;
- * after that, its next requests serve as probes. Active probes are not used
- * because they have a cost and may give wrong results.
+ * after the suspension, the next requests to the target serve as probes. Active
+ * probes are not used because they have a cost and may give wrong results.
  */
 
 /** Consecutive failures after which a target is suspended. */
@@ -106,7 +106,7 @@
 }
 
 /**
- * Creates health state without any recorded target.
+ * Creates health state without recorded targets.
  *
  * @example
  * const health = createTargetHealth();
--- a/packages/direct/src/ingress/ingress.test.ts
+++ b/packages/direct/src/ingress/ingress.test.ts
@@ -111,7 +111,7 @@
   });
 
   it('responds with 503 on a route without a service and keeps serving', async () => {
-    // Guards against a route without a service that terminates the gate.
+    // Guards against a gate that terminates on a route without a service.
     const {routes} = buildConfig(1);
     const harness = await openGateHarness({
       config: buildConfig(1, {
--- a/packages/direct/src/placement/choose-send-time.test.ts
+++ b/packages/direct/src/placement/choose-send-time.test.ts
@@ -102,7 +102,7 @@
     expect((timed?.choice.shards.length ?? 0) > 3).toEqual(true);
   });
 
-  it('defers a prompt that would delay another one close to the end of prefill', () => {
+  it('defers a prompt that would delay another prompt near the end of its prefill', () => {
     // Guards against a huge prompt that preempts the last part of the prefill
     // of an older prompt, which then misses its objective.
     const tracker = createLoadTracker(() => ENGINE);
@@ -120,7 +120,7 @@
     expect((timed?.waitMs ?? 0) > 0).toEqual(true);
   });
 
-  it('makes fewer prompts of a burst miss their objective than sending at once', () => {
+  it('lets fewer prompts of a burst miss their objective than sending all at once', () => {
     // Guards against a burst in which each prompt preempts the earlier ones.
     const sizes = Array.from(
       {length: 24},
--- a/packages/direct/src/placement/choose-send-time.ts
+++ b/packages/direct/src/placement/choose-send-time.ts
@@ -15,8 +15,8 @@
 const DELAYS_MS = [120, 300, 700, 1500];
 
 /**
- * Minimum cost that a delay must save, in units of the value of a short stream:
- * predictions further ahead are less certain.
+ * Minimum reduction of the cost that justifies a delay, in units of the value
+ * of a short stream: predictions further ahead are less certain.
  */
 const MIN_SAVING = 0.2;
 
@@ -50,7 +50,7 @@
  * @returns The choice, or undefined if the engines lack KV cache for the prompt
  *   now.
  * @example
- * chooseSendTime(candidates, demand, figures, performance.now())?.waitMs;
+ * chooseSendTime(candidates, demand, engine, performance.now())?.waitMs;
  */
 export function chooseSendTime(
   candidates: readonly Candidate[],
--- a/packages/direct/src/placement/engine-iterations.test.ts
+++ b/packages/direct/src/placement/engine-iterations.test.ts
@@ -6,8 +6,8 @@
 import {EngineIterations} from './engine-iterations.js';
 import type {ShardWork} from './engine-iterations.js';
 
-function buildShard(ms: number, isOwn = false): ShardWork {
-  return {ms, tokens: ms * 100, isOwn, isWhole: false};
+function buildShard(ms: number, isDecodedHere = false): ShardWork {
+  return {ms, tokens: ms * 100, isDecodedHere, isWhole: false};
 }
 
 /** Lists the prefill ends of the queued shards, rounded to ms. */
@@ -20,7 +20,7 @@
 }
 
 describe('EngineIterations while no stream is decoded', () => {
-  it('prefills the newest shard first, also before prompts that it decodes', () => {
+  it('prefills the newest shard first, even before prompts that the engine decodes', () => {
     // Guards against dropping a shard when a newer one preempts it.
     const iterations = new EngineIterations(ENGINE);
     iterations.addShard('old', buildShard(50), 0);
@@ -54,15 +54,15 @@
     const shard = fc.record({
       work: fc.integer({min: 1, max: 500}),
       pause: fc.integer({min: 0, max: 400}),
-      isOwn: fc.boolean(),
+      isDecodedHere: fc.boolean(),
     });
     fc.assert(
       fc.property(fc.array(shard, {maxLength: 30}), shards => {
         const iterations = new EngineIterations(ENGINE);
         let now = 0;
         let expected = 0;
-        for (const [i, {work, pause, isOwn}] of shards.entries()) {
-          iterations.addShard(`k${i}`, buildShard(work, isOwn), now);
+        for (const [i, {work, pause, isDecodedHere}] of shards.entries()) {
+          iterations.addShard(`k${i}`, buildShard(work, isDecodedHere), now);
           expected = Math.max(0, expected + work - pause);
           now += pause;
           const lastMs = Math.max(
@@ -96,7 +96,7 @@
     return iterations;
   }
 
-  it('prefills one shard per iteration of prompts that other engines decode', () => {
+  it('prefills in each iteration one shard of prompts that other engines decode', () => {
     const iterations = createDecodingEngine();
     iterations.addShard('old', buildShard(200), 0);
     iterations.addShard('new', buildShard(100), 0);
@@ -124,12 +124,12 @@
     expect(Math.round(iterations.estimateStartDelayMs(100))).toEqual(ends.long);
   });
 
-  it('starts long iterations once the prefill of a prompt it decodes has ended', () => {
+  it('starts long iterations once a prompt that the engine decodes is prefilled', () => {
     // Guards against treating an engine as idle between the end of prefill and
     // the first token.
     const iterations = new EngineIterations(ENGINE);
     iterations.addShard('long', buildShard(400), 0);
-    const short = {ms: 30, tokens: 3000, isOwn: true, isWhole: true};
+    const short = {ms: 30, tokens: 3000, isDecodedHere: true, isWhole: true};
     iterations.addShard('short', short, 0);
     const shortDecodeMs = estimateDecodeMs(1, 3000, ENGINE);
     expect(Math.round(iterations.estimateStartDelayMs(40))).toEqual(
@@ -139,7 +139,7 @@
 
   it('lists no prefill end for prompts whose prefill has ended', () => {
     const iterations = new EngineIterations(ENGINE);
-    const short = {ms: 6, tokens: 1000, isOwn: true, isWhole: true};
+    const short = {ms: 6, tokens: 1000, isDecodedHere: true, isWhole: true};
     iterations.addShard('a', short, 0);
     iterations.addShard('b', short, 0);
     expect(iterations.listPrefillEnds(0).size).toEqual(2);
@@ -151,7 +151,7 @@
     const tokens = ENGINE.stepsPerIteration * ENGINE.chunkTokens * 1.5;
     iterations.addShard(
       'huge',
-      {ms: 3000, tokens, isOwn: true, isWhole: false},
+      {ms: 3000, tokens, isDecodedHere: true, isWhole: false},
       0,
     );
     expect(iterations.listIterationPrefills(0).map(Math.round)).toEqual([
--- a/packages/direct/src/placement/engine-iterations.ts
+++ b/packages/direct/src/placement/engine-iterations.ts
@@ -18,7 +18,7 @@
   readonly ms: number;
   readonly tokens: number;
   /** True if this engine also decodes the answer. */
-  readonly isOwn: boolean;
+  readonly isDecodedHere: boolean;
   /**
    * True if this shard is the whole prompt, so that decoding starts as soon as
    * the shard is prefilled.
@@ -28,7 +28,7 @@
 
 interface QueuedShard {
   readonly key: string;
-  readonly isOwn: boolean;
+  readonly isDecodedHere: boolean;
   readonly isWhole: boolean;
   readonly tokens: number;
   readonly msPerToken: number;
@@ -57,10 +57,11 @@
 }
 
 /**
- * Simulates the iterations of one engine. Callers pass in the current time.
+ * Simulates the iterations of one engine. Every method takes the current time.
  *
  * @example
- * iterations.addShard('gate#7', {ms: 350, tokens: 38_000, isOwn: false}, now);
+ * const work = {ms: 350, tokens: 38_000, isDecodedHere: false, isWhole: false};
+ * iterations.addShard('gate#7', work, now);
  * iterations.listPrefillEnds(now).get('gate#7'); // 350 on an idle engine
  */
 export class EngineIterations {
@@ -102,7 +103,7 @@
       this.iterationEndsAt = now + this.decodeMs / 2;
     this.shards.unshift({
       key,
-      isOwn: work.isOwn,
+      isDecodedHere: work.isDecodedHere,
       isWhole: work.isWhole,
       tokens: work.tokens,
       msPerToken: work.ms / work.tokens,
@@ -226,7 +227,7 @@
       prefillMs += advanceShard(shard, tokenBudget) * this.slowdown;
       tokenBudget -= before - shard.leftTokens;
       if (shard.leftTokens <= 0) ended.push(shard);
-      if (!shard.isOwn) break;
+      if (!shard.isDecodedHere) break;
     }
     return {prefillMs, ended};
   }
@@ -270,8 +271,8 @@
    * the gate that placed them has received the first token.
    */
   private startCompletedSequences(): void {
-    for (const {key, isOwn, isWhole, tokens} of this.completingShards) {
-      if (!isOwn || !isWhole || this.sequences.has(key)) continue;
+    for (const {key, isDecodedHere, isWhole, tokens} of this.completingShards) {
+      if (!isDecodedHere || !isWhole || this.sequences.has(key)) continue;
       this.sequences.set(key, tokens);
       this.contextTokens += tokens;
     }
--- a/packages/direct/src/placement/engine-model.ts
+++ b/packages/direct/src/placement/engine-model.ts
@@ -1,4 +1,4 @@
-/** Cost model of one engine, parameterized by configured figures. */
+/** Estimates prefill and decoding times of one engine from its cost model. */
 import type {EngineCostModel} from '../types.js';
 
 /**
@@ -6,7 +6,7 @@
  * linear in the prompt's tokens, plus attention over all pairs of tokens.
  *
  * @example
- * estimatePrefillMs(154_000, figures); // about 3050 with 177 tokens/ms
+ * estimatePrefillMs(154_000, engine); // about 3050 with 177 tokens/ms
  */
 export function estimatePrefillMs(
   promptTokens: number,
@@ -22,20 +22,20 @@
 /**
  * Estimates the time that one engine iteration spends on decoding, in ms.
  *
- * @param decoding - Number of sequences that are decoded.
- * @param contextTokens - Context of all these sequences together.
+ * @param sequenceCount - Number of sequences that the engine decodes.
+ * @param contextTokens - Total context length of these sequences, in tokens.
  * @example
- * estimateDecodeMs(4, 20_000, figures); // about 48
+ * estimateDecodeMs(4, 20_000, engine); // about 48
  */
 export function estimateDecodeMs(
-  decoding: number,
+  sequenceCount: number,
   contextTokens: number,
   engine: EngineCostModel,
 ): number {
-  if (decoding === 0) return 0;
+  if (sequenceCount === 0) return 0;
   const step =
     engine.stepMs +
-    engine.stepMsPerSequence * decoding +
+    engine.stepMsPerSequence * sequenceCount +
     (engine.stepMsPerContextK * contextTokens) / 1000;
   return step * engine.stepsPerIteration;
 }
--- a/packages/direct/src/placement/kv-cache.ts
+++ b/packages/direct/src/placement/kv-cache.ts
@@ -4,14 +4,17 @@
 import type {Candidate} from './price-prefill.js';
 import type {PromptDemand} from './prompt-types.js';
 
-/** KV cache kept free on each engine for the answers it decodes, in tokens. */
+/**
+ * KV cache kept free on each engine for the answers that the engine decodes, in
+ * tokens.
+ */
 const KV_MARGIN_TOKENS = 6000;
 
 /**
  * Counts the free KV cache of an engine, in tokens.
  *
  * @example
- * countFreeKvTokens(candidate.load, figures); // 309000 on an idle engine
+ * countFreeKvTokens(candidate.load, engine); // 309000 on an idle engine
  */
 export function countFreeKvTokens(
   load: EngineLoad,
@@ -27,7 +30,7 @@
  * @returns The reservations, or undefined if the decoding engine and the
  *   helpers together lack capacity.
  * @example
- * planReservations(decoder, helpers, demand, figures)?.length; // 0 when it fits
+ * planReservations(decoder, helpers, demand, engine)?.length; // 0 if it fits
  */
 export function planReservations(
   decoder: Candidate,
@@ -40,11 +43,11 @@
   if (missingTokens <= 0) return [];
   const plan: KvReservation[] = [];
   const helpersByFreeTokens = helpers
-    .map(({id, load}) => ({id, room: countFreeKvTokens(load, engine)}))
-    .sort((a, b) => b.room - a.room);
-  for (const {id, room} of helpersByFreeTokens) {
-    if (missingTokens <= 0 || room <= 0) break;
-    const tokens = Math.ceil(Math.min(missingTokens, room));
+    .map(({id, load}) => ({id, freeTokens: countFreeKvTokens(load, engine)}))
+    .sort((a, b) => b.freeTokens - a.freeTokens);
+  for (const {id, freeTokens} of helpersByFreeTokens) {
+    if (missingTokens <= 0 || freeTokens <= 0) break;
+    const tokens = Math.ceil(Math.min(missingTokens, freeTokens));
     plan.push({target: id, tokens});
     missingTokens -= tokens;
   }
@@ -57,7 +60,7 @@
  * @param engines - Number of engines of the service.
  * @param most - Maximum number of engines that may prefill one prompt.
  * @example
- * isWithinIdleKvCapacity({promptTokens: 700_000, maxOutputTokens: 100}, figures, 2, 16); // false
+ * isWithinIdleKvCapacity({promptTokens: 700_000, maxOutputTokens: 100}, engine, 2, 16); // false
  */
 export function isWithinIdleKvCapacity(
   demand: Pick<PromptDemand, 'promptTokens' | 'maxOutputTokens'>,
--- a/packages/direct/src/placement/load-tracker.ts
+++ b/packages/direct/src/placement/load-tracker.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks which streams run on which engine, as placed by this gate and its
  * peers. Placements are used instead of the engines' load reports because peers
- * announce them within milliseconds, while load reports are older.
+ * announce placements within milliseconds, while load reports are older.
  */
 
 import {EngineIterations} from './engine-iterations.js';
@@ -33,7 +33,10 @@
 
 /** Assignment of one stream to engines. */
 export interface Placement {
-  /** Key that is unique among all gates: owner, `#`, and a number. */
+  /**
+   * Key that is unique among all gates: owner (host and incarnation of the
+   * gate), `#`, and a number.
+   */
   readonly key: string;
   /** Engine that decodes the answer; it also prefills the first shard. */
   readonly decoder: string;
@@ -89,8 +92,8 @@
   /** Prefill time of each coming iteration, in ms. */
   readonly iterationPrefillsMs: readonly number[];
   /**
-   * Delay of the most overdue first token against its prediction, in ms. It is
-   * the first sign of an engine that is slow or has failed.
+   * Delay of the most overdue first token against its prediction, in ms. This
+   * delay is the first sign of an engine that is slow or has failed.
    */
   readonly lagMs: number;
   /** Prompts with a shard in the prefill queue. */
@@ -125,7 +128,7 @@
   private readonly removeListeners: Array<() => void> = [];
 
   /**
-   * @param findEngine - Returns the figures of an engine; undefined for a
+   * @param findEngine - Returns the cost model of an engine; undefined for a
    *   target that is not a configured engine.
    */
   constructor(
@@ -145,7 +148,7 @@
   }
 
   /**
-   * Adds a placement. One with a known key is not added again.
+   * Adds a placement, unless one with the same key is already tracked.
    *
    * @param hasFirstToken - True if the first token has been received.
    */
@@ -203,7 +206,7 @@
     this.engines.get(target)?.iterations?.setSlowdown(slowdown, now);
   }
 
-  /** Lists the placements of one owner, by the prefix of their keys. */
+  /** Lists the placements whose keys begin with `owner`. */
   listOwnedBy(owner: string): ReadonlyArray<{
     readonly placement: Placement;
     readonly hasFirstToken: boolean;
@@ -298,9 +301,9 @@
     const {key, decoder, shards, promptTokens, placedAt} = placement;
     const tokens = promptTokens / shards.length;
     for (const {target, prefillMs} of shards) {
-      const isOwn = target === decoder;
+      const isDecodedHere = target === decoder;
       const isWhole = shards.length === 1;
-      const work = {ms: prefillMs, tokens, isOwn, isWhole};
+      const work = {ms: prefillMs, tokens, isDecodedHere, isWhole};
       this.findEngineState(target).iterations?.addShard(key, work, placedAt);
     }
   }
--- a/packages/direct/src/placement/place-prompt.test.ts
+++ b/packages/direct/src/placement/place-prompt.test.ts
@@ -93,7 +93,7 @@
     expect((choice?.predictedTtftMs ?? Infinity) < 3000).toEqual(true);
   });
 
-  it('predicts under 6 s for a prompt that cannot meet its objective of 3 s', () => {
+  it('predicts a first token within 6 s for a prompt that cannot meet its objective of 3 s', () => {
     // Guards against placing such a prompt on one engine, which would be
     // blocked until after the caller has cancelled.
     const choice = placePrompt(
@@ -172,18 +172,18 @@
       expect(tracker.describe(decoder, 50).backlogMs < 2900).toEqual(true);
   });
 
-  it('counts the delay of a prompt that is queued on several engines once', () => {
+  it('counts the delay of a prompt once if it is queued on several engines', () => {
     // Guards against counting the delay of one prompt once per engine, which
     // makes busy engines look too expensive.
-    const pending = [1, 2, 3].map(count => {
+    const choices = [1, 2, 3].map(count => {
       const tracker = createLoadTracker(() => ENGINE);
       for (let i = 0; i < count; i++) placePrompt(tracker, 250_000, 9, i);
       addShortStreams(tracker, 'e9');
       return placePrompt(tracker, 260_000, 10, 10);
     });
-    for (const choice of pending)
+    for (const choice of choices)
       expect((choice?.shards.length ?? 0) > 4).toEqual(true);
-    const usesShortStreamEngine = pending[0]?.shards.some(
+    const usesShortStreamEngine = choices[0]?.shards.some(
       shard => shard.target === 'e9',
     );
     expect(usesShortStreamEngine).toEqual(false);
@@ -218,7 +218,7 @@
     expect(reserved + (choice?.kvTokens ?? 0) >= 401_600).toEqual(true);
   });
 
-  it('counts KV cache that a helper has reserved for another prompt', () => {
+  it('counts KV cache that a helper has reserved for another prompt as used', () => {
     // Guards against reserving KV cache on a helper that has already reserved
     // it for another prompt.
     const tracker = createLoadTracker(() => ENGINE);
@@ -306,7 +306,7 @@
     expect(tracker.describe('e0', 0).active).toEqual(0);
   });
 
-  it('reports lag after the predicted first token, so that placement avoids the engine', () => {
+  it('reports lag once a first token is overdue, so that placement avoids the engine', () => {
     // Guards against placing streams on an engine that has failed without
     // resetting its connections.
     const tracker = createLoadTracker(() => ENGINE);
--- a/packages/direct/src/placement/place-prompt.ts
+++ b/packages/direct/src/placement/place-prompt.ts
@@ -1,7 +1,7 @@
 /**
  * Chooses the engines for a prompt. The cost of a choice is the expected loss
  * over all streams: the new stream may miss its objectives, and its prefill
- * delays streams that the chosen engines decode or have queued.
+ * delays streams that the chosen engines decode or have queued (interference).
  */
 import {planReservations} from './kv-cache.js';
 import {estimatePrefillMs} from './engine-model.js';
@@ -20,7 +20,10 @@
 /** Price of each helper: one more engine whose failure aborts the prefill. */
 const HELPER_PRICE = 0.01;
 
-/** Maximum engines that prefill one prompt, including the decoding engine. */
+/**
+ * Maximum number of engines that prefill one prompt, including the decoding
+ * engine.
+ */
 export const MAX_PREFILL_ENGINES = 16;
 
 /**
@@ -30,13 +33,15 @@
 const MIN_SHARD_MS = 25;
 
 /**
- * Maximum engines that are tried as the decoding engine for each number of
- * shards: limits the CPU time of a choice to what a small host can spare.
+ * Maximum number of engines that are tried as the decoding engine for each
+ * number of shards: limits the CPU time of a choice to what a small host can
+ * spare.
  */
 const MAX_DECODERS = 12;
 
 /**
- * Estimates the value of a stream relative to other streams by prompt size.
+ * Estimates the value of a stream, relative to other streams, from the size of
+ * its prompt.
  *
  * @example
  * estimateValue(154_000); // 16.4
@@ -65,7 +70,7 @@
     .slice(0, count);
 }
 
-/** Picks the engines with the lowest price as the decoding engine. */
+/** Picks the engines that cost least as the decoding engine. */
 function pickDecoders(
   priced: readonly PricedEngine[],
   demand: PromptDemand,
@@ -158,7 +163,7 @@
  * @returns The choice, or undefined if the engines lack KV cache for the
  *   prompt.
  * @example
- * choosePromptEngines(candidates, demand, figures, performance.now())?.decoder;
+ * choosePromptEngines(candidates, demand, engine, performance.now())?.decoder;
  */
 export function choosePromptEngines(
   candidates: readonly Candidate[],
--- a/packages/direct/src/placement/price-decoder.ts
+++ b/packages/direct/src/placement/price-decoder.ts
@@ -1,4 +1,4 @@
-/** Prices an engine as the decoding engine of a prompt. */
+/** Prices engines as the decoding engine of a prompt. */
 import {countFreeKvTokens} from './kv-cache.js';
 import {estimateDecodeMs} from './engine-model.js';
 import {
@@ -20,7 +20,9 @@
  */
 const ITL_MISMATCH_PRICE = 0.25;
 
-/** Maximum inter-token objective of a latency-sensitive stream, in ms. */
+/**
+ * Maximum inter-token latency objective of a latency-sensitive stream, in ms.
+ */
 const LATENCY_SENSITIVE_ITL_MS = 400;
 
 /** Price of an engine in another availability zone, for cross-zone traffic. */
@@ -42,7 +44,7 @@
  * Prices an engine by its number of streams and its availability zone.
  *
  * @example
- * priceLoadAndZone(candidate, demand, figures); // 0.25 for an idle engine
+ * priceLoadAndZone(candidate, demand, engine); // 0.25 for an idle engine
  */
 export function priceLoadAndZone(
   candidate: Candidate,
@@ -75,7 +77,7 @@
  * ms.
  *
  * @example
- * estimateIterationMs(candidate, 3000, figures);
+ * estimateIterationMs(candidate, 3000, engine);
  */
 export function estimateIterationMs(
   {load, slowdown}: Candidate,
@@ -116,7 +118,7 @@
  * Prices a choice by its decoding engine only, without helpers.
  *
  * @example
- * priceAsDecoder(priced, demand, figures);
+ * priceAsDecoder(priced, demand, engine);
  */
 export function priceAsDecoder(
   priced: PricedEngine,
--- a/packages/direct/src/placement/price-prefill.ts
+++ b/packages/direct/src/placement/price-prefill.ts
@@ -1,13 +1,14 @@
 /**
  * Prices an engine for the prefill of a shard. The newest shard is prefilled
- * first, so it delays every prompt in the prefill queue of the engine.
+ * first, so it delays every prompt in the prefill queue of the engine. The
+ * expected loss of the delayed streams is called interference.
  */
 import {estimateDecodeMs} from './engine-model.js';
 import {TTFT_ERROR, ITL_ERROR, estimateAddedLoss} from './loss.js';
 import type {EngineCostModel} from '../types.js';
 import type {EngineLoad} from './load-tracker.js';
 
-/** Multiple of the inter-token objective at which callers cancel. */
+/** Multiple of the inter-token latency objective at which callers cancel. */
 const ABANDON_ITL_OBJECTIVES = 8;
 
 /** Multiple of the time-to-first-token objective at which callers cancel. */
@@ -31,9 +32,9 @@
   readonly helperDoneMs: number;
   /** Time until the prefill ends if the engine decodes the answer, in ms. */
   readonly decoderDoneMs: number;
-  /** Interference with streams that the engine decodes, as a helper. */
+  /** Interference with decoded streams if the engine is a helper. */
   readonly helperDecodeInterference: number;
-  /** Interference with streams that the engine decodes, as decoding engine. */
+  /** Interference with decoded streams if the engine decodes the answer. */
   readonly decoderDecodeInterference: number;
   /** Interference with each queued prompt, by placement key. */
   readonly queueInterference: ReadonlyMap<string, number>;
@@ -120,7 +121,7 @@
  * Prices an engine for a shard that takes `shardMs` on an idle engine.
  *
  * @example
- * pricePrefill(candidate, 190, figures, performance.now()).helperInterference;
+ * pricePrefill(candidate, 190, engine, performance.now()).helperInterference;
  */
 export function pricePrefill(
   candidate: Candidate,
--- a/packages/direct/src/placement/prompt-placer.ts
+++ b/packages/direct/src/placement/prompt-placer.ts
@@ -63,7 +63,7 @@
   }
 }
 
-/** Result for a prompt that should be sent later. */
+/** Decision to send a prompt later. */
 export interface Deferral {
   /** Delay until engines are to be chosen again, in ms. */
   readonly waitMs: number;
@@ -71,10 +71,13 @@
   readonly predictedTtftMs: number;
 }
 
-/** Result of an attempt to place a prompt. */
+/**
+ * Result of an attempt to place a prompt; {@link PromptPlacer.place} describes
+ * `full` and `none`.
+ */
 export type PlacementOutcome = PlacedPrompt | Deferral | 'full' | 'none';
 
-/** Requirements of a request for engines. */
+/** Request to place a prompt on engines of a service. */
 export interface PromptRequest {
   readonly service: string;
   readonly promptTokens: number;
@@ -88,6 +91,7 @@
 
 /** Dependencies of a prompt placer. */
 export interface PromptPlacerOptions {
+  /** Host and incarnation of this gate, as used in placement keys. */
   readonly owner: string;
   readonly zone: string;
   readonly state: FleetState;
@@ -112,8 +116,8 @@
   /**
    * Places a stream on engines that are not in `tried`.
    *
-   * @param mayExceedSlots - Places the stream even if all slots are taken; it then
-   *   waits in the queue of the engine.
+   * @param mayExceedSlots - Places the stream even if all slots are taken; the
+   *   stream then waits in the queue of the engine.
    * @returns `full` if no slot or not enough KV cache is free, `none` if even
    *   idle engines could not hold the prompt.
    */
--- a/packages/direct/src/retry/shared-retry-budget.test.ts
+++ b/packages/direct/src/retry/shared-retry-budget.test.ts
@@ -6,7 +6,7 @@
 const BOUNDS = {ratio: 0.2, slack: 104, windowMs: 10_000};
 
 describe('SharedRetryBudget', () => {
-  it('keeps the retries of all gates within the bound of any window', () => {
+  it('keeps the sum of the retries of all gates within the limit in any window', () => {
     // Guards against gates whose combined retries double the load of a failing
     // service.
     const load = fc.record({
--- a/packages/direct/src/retry/shared-retry-budget.ts
+++ b/packages/direct/src/retry/shared-retry-budget.ts
@@ -1,7 +1,7 @@
 /**
  * Share of one gate in the retry budget of all gates. The ratio applies to the
  * requests of this gate; the fixed number of retries is divided by the number
- * of gates heard from recently, so that the sum stays within the bound while
+ * of gates heard from recently, so that the sum stays within the limit while
  * gates are partitioned from each other.
  */
 
@@ -11,7 +11,7 @@
  */
 const SPENDABLE_SLACK_SHARE = 0.75;
 
-/** Bounds of the retry budget over all gates. */
+/** Limits of the retry budget that all gates share. */
 export interface RetryBounds {
   /** Allowed retries per request. */
   readonly ratio: number;
@@ -71,7 +71,7 @@
 }
 
 /**
- * Creates a retry budget.
+ * Creates the retry budget of one gate.
  *
  * @param countGates - Counts the gates that share the budget, including this
  *   gate.
