--- a/packages/direct/src/admission/admission-queue.ts
+++ b/packages/direct/src/admission/admission-queue.ts
@@ -35,7 +35,7 @@
   readonly objectiveMs: number;
   /** Tokens of the prompt, for which KV cache is needed besides a slot. */
   readonly promptTokens: number;
-  /** Places the stream if a slot and KV cache are free; false otherwise. */
+  /** Places the stream; returns false if no slot or KV cache is free. */
   tryPlace(): boolean;
 }
 
--- a/packages/direct/src/forward/call-forwarder.test.ts
+++ b/packages/direct/src/forward/call-forwarder.test.ts
@@ -17,7 +17,7 @@
   secondScript: TargetScript,
   check: (
     harness: GateHarness,
-    counts: () => readonly number[],
+    countRequests: () => readonly number[],
   ) => Promise<void>,
 ): Promise<void> {
   const harness = await openGateHarness();
@@ -44,10 +44,10 @@
     await checkWithTargets(
       dropConnection,
       dropConnection,
-      async (harness, counts) => {
+      async (harness, countRequests) => {
         const answer = await harness.call('/unsafe2/order', {method: 'POST'});
         expect(answer.status).toEqual(502);
-        const [a, b] = counts();
+        const [a, b] = countRequests();
         expect(a + b).toEqual(1);
       },
     );
@@ -64,11 +64,11 @@
     await checkWithTargets(
       answerNotRun,
       answerNotRun,
-      async (harness, counts) => {
+      async (harness, countRequests) => {
         const answer = await harness.call('/unsafe2/order', {method: 'POST'});
         expect(answer.status).toEqual(503);
         expect(Number(answer.retryAfter) > 0).toEqual(true);
-        expect(counts()).toEqual([1, 1]);
+        expect(countRequests()).toEqual([1, 1]);
       },
     );
   });
@@ -83,10 +83,10 @@
     await checkWithTargets(
       sendTruncated,
       sendTruncated,
-      async (harness, counts) => {
+      async (harness, countRequests) => {
         const answer = await harness.call('/safe/x');
         expect(answer.status).toEqual(502);
-        expect(counts()).toEqual([1, 1]);
+        expect(countRequests()).toEqual([1, 1]);
       },
     );
   });
--- a/packages/direct/src/forward/caller-response.ts
+++ b/packages/direct/src/forward/caller-response.ts
@@ -26,16 +26,16 @@
  * stripHopByHop(['Connection', 'x', 'X', '1', 'A', '2']); // ['A', '2']
  */
 export function stripHopByHop(headers: RawHeaders): string[] {
-  const named = new Set<string>();
+  const listedNames = new Set<string>();
   for (let i = 0; i < headers.length; i += 2) {
     if (headers[i].toLowerCase() !== 'connection') continue;
     for (const name of headers[i + 1].split(','))
-      named.add(name.trim().toLowerCase());
+      listedNames.add(name.trim().toLowerCase());
   }
   const kept: string[] = [];
   for (let i = 0; i < headers.length; i += 2) {
     const name = headers[i].toLowerCase();
-    if (HOP_BY_HOP.has(name) || named.has(name)) continue;
+    if (HOP_BY_HOP.has(name) || listedNames.has(name)) continue;
     kept.push(headers[i], headers[i + 1]);
   }
   return kept;
--- a/packages/direct/src/forward/kv-lease.ts
+++ b/packages/direct/src/forward/kv-lease.ts
@@ -37,7 +37,7 @@
 
 /**
  * KV cache reservations of one prompt, renewed only while the decoding engine
- * is alive. An open connection does not prove that: an engine that loses power
+ * is alive. An open connection is no proof of that: an engine that loses power
  * resets no connection, and the first token of a long prompt may take many
  * seconds.
  *
@@ -98,13 +98,15 @@
   private renew(): void {
     this.missedPolls = 0;
     for (const held of this.tickets) {
-      const renewal = this.renewOne(held);
+      const renewal = this.renewReservation(held);
       this.renewals.add(renewal);
       void renewal.then(() => this.renewals.delete(renewal));
     }
   }
 
-  private async renewOne(held: LeasedReservation): Promise<LeasedReservation> {
+  private async renewReservation(
+    held: LeasedReservation,
+  ): Promise<LeasedReservation> {
     const tokens = this.tokens.get(held.target.id) ?? 0;
     await this.reservations.reserve(held.target, held.ticket, tokens, LEASE_MS);
     return held;
--- a/packages/direct/src/placement/choose-send-time.test.ts
+++ b/packages/direct/src/placement/choose-send-time.test.ts
@@ -47,16 +47,16 @@
 }
 
 /**
- * Simulates prompts that arrive `everyMs` apart. Each is sent at the chosen
+ * Simulates prompts that arrive `intervalMs` apart. Each is sent at the chosen
  * time, or at once if deferral is not allowed.
  */
 function runBurst(
   sizes: readonly number[],
-  everyMs: number,
+  intervalMs: number,
   isDeferralAllowed: boolean,
 ): BurstResult {
   const tracker = createLoadTracker(() => ENGINE);
-  const pending = sizes.map((tokens, i) => ({tokens, at: i * everyMs, i}));
+  const pending = sizes.map((tokens, i) => ({tokens, at: i * intervalMs, i}));
   const open = new Map<string, number>();
   const shares: number[] = [];
   let deferredMs = 0;
@@ -120,7 +120,7 @@
     expect((timed?.waitMs ?? 0) > 0).toEqual(true);
   });
 
-  it('lets fewer prompts of a burst miss their objective than sending all at once', () => {
+  it('lets fewer prompts of a burst miss their objective than immediate sending does', () => {
     // Guards against a burst in which each prompt preempts the earlier ones.
     const sizes = Array.from(
       {length: 24},
@@ -146,8 +146,8 @@
           maxLength: 8,
         }),
         fc.integer({min: 0, max: 600}),
-        (sizes, everyMs) => {
-          const {shares} = runBurst(sizes, everyMs, true);
+        (sizes, intervalMs) => {
+          const {shares} = runBurst(sizes, intervalMs, true);
           expect(shares.length).toEqual(sizes.length);
         },
       ),
--- a/packages/direct/src/placement/load-tracker.ts
+++ b/packages/direct/src/placement/load-tracker.ts
@@ -87,7 +87,7 @@
 export interface EngineLoad {
   /** Time until the prefill queue is empty, including the lag, in ms. */
   readonly backlogMs: number;
-  /** Time until a new shard can start (rest of the iteration), in ms. */
+  /** Time until a new shard can start, after the running iteration, in ms. */
   readonly waitMs: number;
   /** Prefill time of each coming iteration, in ms. */
   readonly iterationPrefillsMs: readonly number[];
--- a/packages/direct/src/placement/place-call.ts
+++ b/packages/direct/src/placement/place-call.ts
@@ -32,7 +32,7 @@
     private readonly readNow: () => number,
   ) {}
 
-  /** Chooses a target that is not in `tried`; undefined if none is left. */
+  /** Chooses a target that is not in `tried`; undefined if there is none. */
   choose(service: string, tried: ReadonlySet<string>): Target | undefined {
     const now = this.readNow();
     const left = this.state
--- a/packages/direct/src/placement/place-prompt.test.ts
+++ b/packages/direct/src/placement/place-prompt.test.ts
@@ -175,15 +175,15 @@
   it('counts the delay of a prompt once if it is queued on several engines', () => {
     // Guards against counting the delay of one prompt once per engine, which
     // makes busy engines look too expensive.
-    const choices = [1, 2, 3].map(count => {
+    const pending = [1, 2, 3].map(count => {
       const tracker = createLoadTracker(() => ENGINE);
       for (let i = 0; i < count; i++) placePrompt(tracker, 250_000, 9, i);
       addShortStreams(tracker, 'e9');
       return placePrompt(tracker, 260_000, 10, 10);
     });
-    for (const choice of choices)
+    for (const choice of pending)
       expect((choice?.shards.length ?? 0) > 4).toEqual(true);
-    const usesShortStreamEngine = choices[0]?.shards.some(
+    const usesShortStreamEngine = pending[0]?.shards.some(
       shard => shard.target === 'e9',
     );
     expect(usesShortStreamEngine).toEqual(false);
--- a/packages/direct/src/retry/shared-retry-budget.ts
+++ b/packages/direct/src/retry/shared-retry-budget.ts
@@ -45,7 +45,7 @@
     this.readWindow(service, now).requests.push(now);
   }
 
-  /** Claims one retry; false if the budget of the window is spent. */
+  /** Claims one retry; returns false if the budget of the window is spent. */
   claimRetry(service: string, now: number): boolean {
     const window = this.readWindow(service, now);
     const slack =
