--- a/packages/direct/src/placement/load-tracker.ts
+++ b/packages/direct/src/placement/load-tracker.ts
@@ -148,7 +148,8 @@
   }
 
   /**
-   * Adds a placement, unless one with the same key is already tracked.
+   * Adds a placement. For a key that is already tracked, records only the first
+   * token.
    *
    * @param hasFirstToken - True if the first token has been received.
    */
