--- a/packages/direct/src/admission/admission-queue.ts
+++ b/packages/direct/src/admission/admission-queue.ts
@@ -35,7 +35,7 @@
   readonly objectiveMs: number;
   /** Tokens of the prompt, for which KV cache is needed besides a slot. */
   readonly promptTokens: number;
-  /** Places the stream if a slot and KV cache are free; false otherwise. */
+  /** Places the stream; returns false if no slot or KV cache is free. */
   tryPlace(): boolean;
 }
 
@@ -58,7 +58,7 @@
  * Admission queue of one gate for one service.
  *
  * @example
- * const outcome = await queue.enter(entry, left);
+ * const outcome = await queue.enter(entry, signal);
  */
 export class AdmissionQueue {
   private waiting: QueuedStream[] = [];
--- a/packages/direct/src/forward/call-forwarder.test.ts
+++ b/packages/direct/src/forward/call-forwarder.test.ts
@@ -11,19 +11,19 @@
 
 const dropConnection: TargetScript = req => req.socket.destroy();
 
-/** Runs `check` with two targets whose scripts are `a` and `b`. */
+/** Runs `check` with a gate and two targets that run the given scripts. */
 async function checkWithTargets(
-  a: TargetScript,
-  b: TargetScript,
+  firstScript: TargetScript,
+  secondScript: TargetScript,
   check: (
     harness: GateHarness,
-    counts: () => readonly number[],
+    countRequests: () => readonly number[],
   ) => Promise<void>,
 ): Promise<void> {
   const harness = await openGateHarness();
   try {
-    const first = await harness.addTarget('a', 'orders', a);
-    const second = await harness.addTarget('b', 'orders', b);
+    const first = await harness.addTarget('a', 'orders', firstScript);
+    const second = await harness.addTarget('b', 'orders', secondScript);
     await harness.waitUntil(() => isListed(harness, 2));
     await check(harness, () => [first.received.length, second.received.length]);
   } finally {
@@ -44,10 +44,10 @@
     await checkWithTargets(
       dropConnection,
       dropConnection,
-      async (harness, counts) => {
+      async (harness, countRequests) => {
         const answer = await harness.call('/unsafe2/order', {method: 'POST'});
         expect(answer.status).toEqual(502);
-        const [a, b] = counts();
+        const [a, b] = countRequests();
         expect(a + b).toEqual(1);
       },
     );
@@ -64,16 +64,16 @@
     await checkWithTargets(
       answerNotRun,
       answerNotRun,
-      async (harness, counts) => {
+      async (harness, countRequests) => {
         const answer = await harness.call('/unsafe2/order', {method: 'POST'});
         expect(answer.status).toEqual(503);
         expect(Number(answer.retryAfter) > 0).toEqual(true);
-        expect(counts()).toEqual([1, 1]);
+        expect(countRequests()).toEqual([1, 1]);
       },
     );
   });
 
-  it('retries a safe call whose response was truncated', async () => {
+  it('retries a safe call whose response was truncated, then responds with 502', async () => {
     // Guards against a truncated response that is forwarded as complete.
     const sendTruncated: TargetScript = (req, res) => {
       res.writeHead(200, {...buildSignedHead(req), 'content-length': '100'});
@@ -83,10 +83,10 @@
     await checkWithTargets(
       sendTruncated,
       sendTruncated,
-      async (harness, counts) => {
+      async (harness, countRequests) => {
         const answer = await harness.call('/safe/x');
         expect(answer.status).toEqual(502);
-        expect(counts()).toEqual([1, 1]);
+        expect(countRequests()).toEqual([1, 1]);
       },
     );
   });
@@ -147,7 +147,7 @@
     });
   });
 
-  it('responds with 504 to an unsafe call without a response at its deadline', async () => {
+  it('responds with 504 to an unsafe call that has no response at its deadline', async () => {
     const hang: TargetScript = () => undefined;
     await checkWithTargets(hang, hang, async harness => {
       const answer = await harness.call('/unsafe/order', {
--- a/packages/direct/src/placement/place-prompt.test.ts
+++ b/packages/direct/src/placement/place-prompt.test.ts
@@ -93,7 +93,7 @@
     expect((choice?.predictedTtftMs ?? Infinity) < 3000).toEqual(true);
   });
 
-  it('predicts under 6 s for a prompt that cannot meet its objective of 3 s', () => {
+  it('predicts a first token within 6 s for a prompt that cannot meet its objective of 3 s', () => {
     // Guards against placing such a prompt on one engine, which would be
     // blocked until after the caller has cancelled.
     const choice = placePrompt(
@@ -172,7 +172,7 @@
       expect(tracker.describe(decoder, 50).backlogMs < 2900).toEqual(true);
   });
 
-  it('counts the delay of a prompt that is queued on several engines once', () => {
+  it('counts the delay of a prompt once if it is queued on several engines', () => {
     // Guards against counting the delay of one prompt once per engine, which
     // makes busy engines look too expensive.
     const pending = [1, 2, 3].map(count => {
@@ -218,7 +218,7 @@
     expect(reserved + (choice?.kvTokens ?? 0) >= 401_600).toEqual(true);
   });
 
-  it('counts KV cache that a helper has reserved for another prompt', () => {
+  it('counts KV cache that a helper has reserved for another prompt as used', () => {
     // Guards against reserving KV cache on a helper that has already reserved
     // it for another prompt.
     const tracker = createLoadTracker(() => ENGINE);
@@ -306,7 +306,7 @@
     expect(tracker.describe('e0', 0).active).toEqual(0);
   });
 
-  it('reports lag after the predicted first token, so that placement avoids the engine', () => {
+  it('reports lag once a first token is overdue, so that placement avoids the engine', () => {
     // Guards against placing streams on an engine that has failed without
     // resetting its connections.
     const tracker = createLoadTracker(() => ENGINE);
