--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -4,7 +4,8 @@
  */
 
 /**
- * Returns the wall-clock time in ms since the Unix epoch, with a fractional part.
+ * Returns the wall-clock time in ms since the Unix epoch, with a fractional
+ * part.
  *
  * @example
  * const startedAt = readClockMs();
--- a/packages/core/src/config/delta.ts
+++ b/packages/core/src/config/delta.ts
@@ -70,8 +70,8 @@
 /**
  * Applies a delta to a record.
  *
- * @returns The new raw record, or undefined when `record` does not have the base
- *   version of the delta.
+ * @returns The new raw record, or undefined when `record` does not have the
+ *   base version of the delta.
  * @example
  * const next = applyDelta(current, delta);
  */
--- a/packages/core/src/config/record.test.ts
+++ b/packages/core/src/config/record.test.ts
@@ -25,7 +25,7 @@
 
 describe('configuration record', () => {
   it('is rejected when two accounts share an API key, without revealing the key', () => {
-    // Guards against a copied API key that authenticates one account as another.
+    // Guards against a copied API key that identifies one account as another.
     const recordWithSharedKey = {
       ...record,
       accounts: [care, {...staff, keys: care.keys}],
@@ -40,8 +40,8 @@
   });
 
   it('is rejected when a rule names an unknown pool', () => {
-    // Guards against a misspelled pool in a rule, which leaves the requests of the
-    // intended pool repeatable.
+    // Guards against a misspelled pool in a rule, which leaves the requests of
+    // the intended pool repeatable.
     const rules = [{pool: 'ordres', notRepeatable: true}];
     expect(() => resolveConfigRecord({...record, rules})).toThrow(
       ConfigRecordError,
--- a/packages/core/src/config/record.ts
+++ b/packages/core/src/config/record.ts
@@ -1,8 +1,8 @@
 /**
  * The configuration record that operators publish to the platform's
  * configuration service: client accounts, pools of targets, and rules for
- * requests that must not be repeated. The field `schemaVersion` lets records of an
- * old and a new schema coexist during a migration.
+ * requests that must not be repeated. The field `schemaVersion` lets records of
+ * an old and a new schema coexist during a migration.
  */
 import {z} from 'zod';
 import {ConfigRecordError} from '../errors.js';
@@ -24,15 +24,17 @@
   pools: z.array(z.string().min(1)).min(1),
   /** Limit on requests of this account in flight at one gate. */
   maxConcurrent: z.number().int().positive().default(64),
-  /** Limit on the sustained request rate at one gate, in requests per second. */
+  /**
+   * Limit on the sustained request rate at one gate, in requests per second.
+   */
   ratePerSecond: z.number().positive().default(50),
   /** Default deadline of requests that set none, in ms. */
   deadlineMs: z.number().int().positive().default(60_000),
 });
 
 /**
- * Desired state of an engine. Its agent sends the engine orders for settings that
- * differ.
+ * Desired state of an engine. Its agent sends the engine orders for settings
+ * that differ.
  */
 export const EngineStateSchema = z.object({
   model: z.string().min(1).optional(),
@@ -57,7 +59,9 @@
 
 export const RuleSchema = z.object({
   pool: z.string().min(1),
-  /** Operation of a plain service; when absent, the rule covers the whole pool. */
+  /**
+   * Operation of a plain service; when absent, the rule covers the whole pool.
+   */
   op: z.string().min(1).optional(),
   notRepeatable: z.literal(true),
 });
@@ -82,7 +86,7 @@
 export type Rule = z.output<typeof RuleSchema>;
 export type ConfigRecord = Readonly<z.output<typeof ConfigRecordSchema>>;
 
-/** Returns values that occur more than once. */
+/** Returns each occurrence of a value after its first. */
 function listDuplicates(values: readonly string[]): readonly string[] {
   const seen = new Set<string>();
   return values.filter(value => seen.size === seen.add(value).size);
@@ -108,7 +112,7 @@
     ...listDuplicates(accounts.map(account => account.id)).map(
       id => `accounts: ${id} is listed twice`,
     ),
-    // API keys are secrets, so the message names the account instead of the key.
+    // API keys are secrets, so the message names the account, not the key.
     ...listDuplicates(allKeys).map(
       key =>
         `accounts: a key of ${keyOwners[allKeys.lastIndexOf(key)]} is listed twice`,
@@ -133,8 +137,8 @@
 /**
  * Validates a raw configuration record and fills in defaults.
  *
- * @throws ConfigRecordError when the schema version is not supported or a field is
- *   invalid.
+ * @throws ConfigRecordError when the schema version is not supported or a field
+ *   is invalid.
  * @example
  * const record = resolveConfigRecord(await response.body.json());
  */
--- a/packages/core/src/config/watch.ts
+++ b/packages/core/src/config/watch.ts
@@ -1,8 +1,8 @@
 /**
- * Watches the configuration service by long polling and keeps the newest accepted
- * record in memory. The version only increases: records that are not newer are
- * ignored, and the last accepted record stays in use while the service is
- * unavailable, so an accepted configuration never reverts.
+ * Watches the configuration service by long polling and keeps the newest
+ * accepted record in memory. The version only increases: records that are not
+ * newer are ignored, and the last accepted record stays in use while the
+ * service is unavailable, so an accepted configuration never reverts.
  */
 import {request} from 'undici';
 import {waitMs} from '../clock.js';
@@ -24,20 +24,21 @@
    */
   readonly waitMs?: number;
   /**
-   * Upper bound of the first backoff delay after a failed or ignored read, in ms;
-   * doubles with each further one, up to `backoffMaxMs`.
+   * Upper bound of the first backoff delay after a failed or ignored read, in
+   * ms; doubles with each further such read, up to `backoffMaxMs`.
    * @default 100
    */
   readonly backoffMinMs?: number;
   /**
-   * Longest backoff delay, in ms: half the time within which a change must be in
-   * force.
+   * Longest backoff delay, in ms: half the time within which a change must be
+   * in force.
    *
    * @default 4000
    */
   readonly backoffMaxMs?: number;
   /**
-   * Sections of the record to read; agents, for example, need no client accounts.
+   * Sections of the record to read; agents, for example, need no client
+   * accounts.
    * @default every section
    */
   readonly sections?: readonly string[];
@@ -53,7 +54,8 @@
 const READ_TIMEOUT_MARGIN_MS = 5000;
 
 /**
- * Long-running task that watches the service and holds the current record.
+ * Long-running task that watches the configuration service and holds the
+ * current record.
  *
  * @example
  * const watcher = createConfigWatcher({url, counters});
@@ -69,12 +71,12 @@
 
   constructor(private readonly options: ConfigWatcherOptions) {}
 
-  /** The newest accepted record; undefined before the first one. */
+  /** The newest accepted record; undefined until a record is accepted. */
   get current(): ConfigRecord | undefined {
     return this.record;
   }
 
-  /** Version of the newest accepted record; 0 before the first one. */
+  /** Version of the newest accepted record; 0 until a record is accepted. */
   get version(): number {
     return this.record?.version ?? 0;
   }
@@ -99,8 +101,8 @@
 
   /**
    * Reads the service once without waiting for a change. Returns whether the
-   * current record is then the newest record of the service; false when the read
-   * fails, or when the service returns an older or invalid record.
+   * current record is then the newest record of the service; false when the
+   * read fails, or when the service returns an older or invalid record.
    */
   async confirmNewest(): Promise<boolean> {
     const result = await this.readOnce(0);
@@ -108,8 +110,8 @@
   }
 
   /**
-   * Offers a raw record or delta, and returns whether it is accepted as the newest
-   * record.
+   * Offers a raw record or delta, and returns whether it is accepted as the
+   * newest record.
    */
   offer(raw: unknown): boolean {
     const counters = this.options.counters;
@@ -155,8 +157,8 @@
         continue;
       }
       if (!this.running) return;
-      // Full jitter avoids synchronized reads of many clients from a service that
-      // recovers.
+      // Full jitter avoids synchronized reads of many clients from a service
+      // that recovers.
       await waitMs(Math.random() * backoffMs);
       backoffMs = Math.min(maxMs, backoffMs * 2);
     }
--- a/packages/core/src/daemon.ts
+++ b/packages/core/src/daemon.ts
@@ -1,6 +1,6 @@
 /**
- * Entry point shared by the gate and agent binaries: reads `--config`, validates
- * the settings, runs the task and drains it on SIGTERM or SIGINT.
+ * Entry point shared by the gate and agent binaries: reads `--config`,
+ * validates the settings, runs the task and drains it on SIGTERM or SIGINT.
  */
 import meow from 'meow';
 import {SettingsError} from './errors.js';
@@ -74,8 +74,8 @@
     log.info('signal_received', {signal});
     void task.drain().then(() => process.exit(0));
   };
-  // The signal handlers stay registered: a second signal would otherwise end the
-  // process during the drain.
+  // The signal handlers stay registered: a second signal would otherwise end
+  // the process during the drain.
   process.on('SIGTERM', () => stop('SIGTERM'));
   process.on('SIGINT', () => stop('SIGINT'));
   try {
--- a/packages/core/src/errors.ts
+++ b/packages/core/src/errors.ts
@@ -1,6 +1,6 @@
 /**
  * Error classes shared by all packages. Each class extends VError and has a
- * stable `code`, so that code branches on the type or code, not on message texts.
+ * stable `code`, so that callers branch on the type or code, not on messages.
  */
 import VError from 'verror';
 
@@ -39,19 +39,26 @@
   override name = 'SettingsError';
 }
 
-/** A configuration record that is invalid or has an unsupported schema version. */
+/**
+ * A configuration record that is invalid or has an unsupported schema version.
+ */
 export class ConfigRecordError extends NutmeggaugeError {
   readonly code = 'config_record_invalid';
   override name = 'ConfigRecordError';
 }
 
-/** A JSON-RPC call whose link closed before the call or while it was outstanding. */
+/**
+ * A JSON-RPC call whose link closed before the call or while it was
+ * outstanding.
+ */
 export class RpcClosedError extends NutmeggaugeError {
   readonly code = 'rpc_closed';
   override name = 'RpcClosedError';
 }
 
-/** A JSON-RPC call that returned an error, or a call or connect that timed out. */
+/**
+ * A JSON-RPC call that returned an error, or a call or connect that timed out.
+ */
 export class RpcFailedError extends NutmeggaugeError {
   readonly code = 'rpc_failed';
   override name = 'RpcFailedError';
--- a/packages/core/src/http.ts
+++ b/packages/core/src/http.ts
@@ -8,7 +8,7 @@
 export const MAX_BODY_BYTES = 16 * 1024 * 1024;
 
 /**
- * Returns the path of a request; undefined when its URL is invalid, such as "//".
+ * Returns the path of a request; undefined for an invalid URL, such as "//".
  *
  * @example
  * readPath(req); // '/v1/completions'
@@ -60,8 +60,8 @@
 }
 
 /**
- * Reads a request body as JSON; resolves to undefined when it is not valid JSON or
- * larger than `MAX_BODY_BYTES`.
+ * Reads a request body as JSON; resolves to undefined when it is not valid JSON
+ * or larger than `MAX_BODY_BYTES`.
  *
  * @throws The connection's error when the caller disconnects while sending the
  *   body.
--- a/packages/core/src/idempotency-key.ts
+++ b/packages/core/src/idempotency-key.ts
@@ -1,10 +1,10 @@
 /**
- * Age of Idempotency-Keys. A UUIDv7 contains the time at which the caller
- * created it; the age of any other key is unknown.
+ * Reads the creation time of Idempotency-Keys. A UUIDv7 contains the time at
+ * which the caller created it; the age of any other key is unknown.
  *
- * Agents keep their ledgers of executed keys in memory only. After a restart, an
- * agent may run a request whose key was created after the start, but must not
- * run one whose key the ledger of an earlier incarnation may have recorded.
+ * Agents keep their ledgers of executed keys in memory only. After a restart,
+ * an agent may run a request whose key was created after the start, but must
+ * not run one whose key the ledger of an earlier incarnation may have recorded.
  */
 import {parse, validate, version} from 'uuid';
 
--- a/packages/core/src/listen.test.ts
+++ b/packages/core/src/listen.test.ts
@@ -7,19 +7,25 @@
 /** Idle timeout of keep-alive connections, in ms. */
 const IDLE_MS = 1000;
 
-/** Duration of the suspension, in ms; Node adds a second to the idle timeout. */
+/**
+ * Duration of the suspension, in ms; Node adds a second to the idle timeout.
+ */
 const SUSPENSION_MS = 2600;
 
 const REQUEST = 'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n';
 
-/** Blocks the thread, so that no I/O and no timers run, as in a suspended process. */
+/**
+ * Blocks the thread, so that no I/O and no timers run, as in a suspended
+ * process.
+ */
 function freezeProcess(): void {
   Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, SUSPENSION_MS);
 }
 
 /**
  * Sends a request on a keep-alive connection, and a second one followed by a
- * suspension if `shouldFreeze`. Returns the answers and resets seen by the client.
+ * suspension if `shouldFreeze`. Returns the answers and resets seen by the
+ * client.
  */
 async function sendTwoRequests(
   shouldFreeze: boolean,
@@ -35,8 +41,8 @@
     socket.on('data', () => {
       outcomes.push('answer');
       if (outcomes.length > 1) socket.end();
-      // Sends after the current poll phase, so the server has not read the request
-      // when the process freezes.
+      // Sends after the current poll phase, so the server has not read the
+      // request when the process freezes.
       else if (shouldFreeze)
         setImmediate(() => {
           socket.write(REQUEST);
--- a/packages/core/src/loopback.ts
+++ b/packages/core/src/loopback.ts
@@ -1,13 +1,13 @@
 /** Loopback addresses for tests that run several hosts on one machine. */
 
 /**
- * Builds a loopback address that no other test process uses, from the process id
- * and `n`, which ranges from 0 to 3.
+ * Builds a loopback address that no other test process uses, from the process
+ * id and `index`, which ranges from 0 to 3.
  *
  * @example
  * buildLoopbackHost(1); // '127.0.98.13'
  */
-export function buildLoopbackHost(n: number): string {
-  const bits = process.pid * 4 + n;
+export function buildLoopbackHost(index: number): string {
+  const bits = process.pid * 4 + index;
   return `127.${(bits >> 16) & 255}.${(bits >> 8) & 255}.${bits & 255}`;
 }
--- a/packages/core/src/metrics.ts
+++ b/packages/core/src/metrics.ts
@@ -33,8 +33,8 @@
   });
 
   /**
-   * Records one latency. Values below zero are recorded as zero, values over one
-   * hour as one hour.
+   * Records one latency. Values below zero are recorded as zero, values over
+   * one hour as one hour.
    */
   recordMs(ms: number): void {
     const us = Math.min(
@@ -46,7 +46,8 @@
 
   /** Returns the number of samples, and the percentiles in milliseconds. */
   summarize(): LatencySummary {
-    const read = (p: number) => this.histogram.getValueAtPercentile(p) / 1000;
+    const read = (percentile: number) =>
+      this.histogram.getValueAtPercentile(percentile) / 1000;
     return {
       count: this.histogram.totalCount,
       p50: read(50),
@@ -61,7 +62,7 @@
  * Creates an empty latency histogram.
  *
  * @example
- * const h = createLatencyHistogram();
+ * const latencies = createLatencyHistogram();
  */
 export function createLatencyHistogram(): LatencyHistogram {
   return new LatencyHistogram();
--- a/packages/core/src/protocol.ts
+++ b/packages/core/src/protocol.ts
@@ -1,7 +1,8 @@
 /**
  * JSON-RPC messages between a gate and an agent. The gate calls `dispatch`; the
  * agent confirms with `accepted`, streams `chunk` notifications for the request
- * and sends `load` notifications on its own schedule. The gate may send `cancel`.
+ * and sends `load` notifications on its own schedule. The gate may send
+ * `cancel`.
  */
 
 import {z} from 'zod';
@@ -28,7 +29,7 @@
 
 /** Position at which an interrupted stream resumes. */
 export interface ResumePoint {
-  /** Sequence number of the next chunk; all lower ones have been delivered. */
+  /** Sequence number of the next chunk; all earlier chunks were delivered. */
   readonly fromSeq: number;
   /** Text delivered so far, which the engine continues. */
   readonly text: string;
@@ -61,8 +62,8 @@
    */
   readonly keyed: boolean;
   /**
-   * Creation time of the Idempotency-Key in epoch ms; absent when the key has no
-   * timestamp.
+   * Creation time of the Idempotency-Key in epoch ms; absent when the key has
+   * no timestamp.
    */
   readonly keyMintedAt?: number;
   /** Version of the configuration record that the gate uses. */
@@ -100,7 +101,9 @@
 /** One chunk of a streamed answer (agent → gate). */
 export interface ChunkNotification {
   readonly requestId: string;
-  /** Sequence number: 0, 1, 2 … in the order in which the target sends chunks. */
+  /**
+   * Sequence number: 0, 1, 2 … in the order in which the target sends chunks.
+   */
   readonly seq: number;
   readonly text: string;
 }
@@ -131,7 +134,10 @@
   recordVersion: z.number().optional(),
   queued: z.number(),
   inFlight: z.number(),
-  /** Prompt tokens queued or in prefill at the agent and its target, by length class. */
+  /**
+   * Prompt tokens queued or in prefill at the agent and its target, by length
+   * class.
+   */
   pendingByClass: z.array(z.number()).length(LENGTH_CLASS_COUNT),
   /** Tokens that requests in flight have yet to generate. */
   pendingDecodeTokens: z.number(),
--- a/packages/core/src/rendezvous.ts
+++ b/packages/core/src/rendezvous.ts
@@ -6,8 +6,8 @@
 import {createHash} from 'node:crypto';
 
 /**
- * Returns the home of `key`: the id with the highest hash score, or undefined for
- * an empty list.
+ * Returns the home of `key`: the id with the highest hash score, or undefined
+ * for an empty list.
  *
  * @example
  * findHome(['plain-1', 'plain-2'], 'acct:order-17'); // 'plain-2'
--- a/packages/core/src/rpc-errors.test.ts
+++ b/packages/core/src/rpc-errors.test.ts
@@ -67,7 +67,9 @@
     socket.emit('error', ERROR_FACTORIES[error]());
 }
 
-/** Test harness that injects faults into links between a client and a listener. */
+/**
+ * Test harness that injects faults into links between a client and a listener.
+ */
 class LinkHarness {
   readonly uncaught: unknown[] = [];
   private readonly server: Server = createServer(socket => {
@@ -113,8 +115,8 @@
   }
 
   /**
-   * Runs one exchange with injected faults; resolves with the answer of its call,
-   * or with the error.
+   * Runs one exchange with injected faults; resolves with the answer of its
+   * call, or with the error.
    */
   async run(faults: readonly Fault[]): Promise<unknown> {
     this.faults = faults;
@@ -185,7 +187,7 @@
   });
   after(() => harness.stop());
 
-  it('raises no uncaught error, leaves no connection open and does not affect later links, for faults at any point of an exchange (property)', async () => {
+  it('raises no uncaught error, leaks no connection and does not affect later links for faults at any point (property)', async () => {
     // Guards against late socket errors ending the process of either end.
     await fc.assert(
       fc.asyncProperty(
--- a/packages/core/src/rpc.test.ts
+++ b/packages/core/src/rpc.test.ts
@@ -64,8 +64,8 @@
 
 describe('JSON-RPC link', () => {
   it('closes without an uncaught error when its connection is reset', async () => {
-    // Guards against an uncaught error: the line reader emits the error of its
-    // socket again.
+    // Guards against an uncaught error of the line reader, which also emits the
+    // errors of its socket.
     const {link, far, near, close} = await openLinkFixture();
     const closed = waitForClose(link);
     near.emit('error', new Error('read ECONNRESET'));
@@ -76,8 +76,8 @@
   });
 
   it('closes when it receives a line that is not a JSON-RPC message', async () => {
-    // Guards against lines of another protocol ending the process by an uncaught
-    // error.
+    // Guards against lines of another protocol ending the process by an
+    // uncaught error.
     for (const line of ['{"a":1}', '7', 'null', '"x"', '{{']) {
       const {link, far, close} = await openLinkFixture();
       const closed = waitForClose(link);
@@ -91,8 +91,12 @@
   it('closes when it receives a message whose method is not a string', async () => {
     // Guards against a method without a string form ending the process by an
     // uncaught error.
-    const bad = {jsonrpc: '2.0', method: {toString: 1}, id: 1};
-    for (const message of [bad, {...bad, id: undefined}, {method: 7}]) {
+    const invalidMessage = {jsonrpc: '2.0', method: {toString: 1}, id: 1};
+    for (const message of [
+      invalidMessage,
+      {...invalidMessage, id: undefined},
+      {method: 7},
+    ]) {
       const {link, far, close} = await openLinkFixture();
       const closed = waitForClose(link);
       far.write(`${JSON.stringify(message)}\n`);
@@ -163,10 +167,10 @@
     const worker = new Worker(NON_ACCEPTING_LISTENER, {eval: true});
     const [port] = (await once(worker, 'message')) as [number];
     const opened: RpcLink[] = [];
-    const openOne = () => openRpcLink(`127.0.0.1:${port}`, undefined, 200);
-    // The system accepts a few connections into the backlog before it drops one.
+    const openLink = () => openRpcLink(`127.0.0.1:${port}`, undefined, 200);
+    // The system queues a few connections in the backlog before it drops one.
     const attempts = Array.from({length: 12}, () =>
-      openOne().then(
+      openLink().then(
         link => void opened.push(link),
         (error: unknown) => error,
       ),
--- a/packages/core/src/rpc.ts
+++ b/packages/core/src/rpc.ts
@@ -1,6 +1,7 @@
 /**
- * JSON-RPC 2.0 links. A link runs over one TCP socket, with one JSON message per
- * line, and owns the socket: other code only calls, notifies and closes the link.
+ * JSON-RPC 2.0 links. A link runs over one TCP socket, with one JSON message
+ * per line, and owns the socket: other code only calls, notifies and closes the
+ * link.
  */
 import {connect} from 'node:net';
 import {createInterface} from 'node:readline';
@@ -41,7 +42,7 @@
     socket.setNoDelay(true);
     const lines = createInterface({input: socket, crlfDelay: Infinity});
     lines.on('line', line => this.receive(line));
-    // The line reader emits the error of its socket again on itself.
+    // The line reader also emits the errors of its socket.
     lines.on('error', () => socket.destroy());
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.markClosed());
@@ -60,10 +61,11 @@
   /**
    * Calls `method` and resolves with its result.
    *
-   * @param timeoutMs - Longest wait for the answer, in ms; when absent, the call
-   *   waits until the link closes.
+   * @param timeoutMs - Longest wait for the answer, in ms; when absent, the
+   *   call waits until the link closes.
    * @throws RpcClosedError when the link closes before the answer;
-   *   RpcFailedError when the peer answers with an error or the timeout expires.
+   *   RpcFailedError when the peer answers with an error or the call times
+   *   out.
    */
   async call<T>(
     method: string,
@@ -107,8 +109,8 @@
   }
 
   /**
-   * Registers a listener that runs once when the link closes, or at once when the
-   * link is already closed.
+   * Registers a listener that runs once when the link closes, or at once when
+   * the link is already closed.
    */
   onClose(listener: () => void): void {
     if (this.closed) {
@@ -215,7 +217,8 @@
 /**
  * Creates a JSON-RPC link over a socket.
  *
- * @param counters - Receives the `rpc.*` counters of bytes and messages by method.
+ * @param counters - Receives the `rpc.*` counters of bytes and messages by
+ *   method.
  * @example
  * const link = createRpcLink(net.connect(7001, '127.0.0.1'));
  */
@@ -242,8 +245,9 @@
   const [host, port] = address.split(':');
   return new Promise((resolve, reject) => {
     const socket = connect(Number(port), host);
-    // The error handler stays registered for later errors. It destroys the socket,
-    // which could otherwise still connect after the promise is rejected.
+    // The error handler stays registered for later errors. It destroys the
+    // socket, which could otherwise still connect after the promise is
+    // rejected.
     socket.on('error', error => {
       socket.destroy();
       reject(error);
--- a/packages/core/src/settings.ts
+++ b/packages/core/src/settings.ts
@@ -1,6 +1,6 @@
 /**
  * Loading of YAML settings files with validation against a zod schema. An
- * invalid file raises a SettingsError that names the file and every invalid key.
+ * invalid file raises a SettingsError that names the file and all invalid keys.
  */
 import {parse as parseYaml} from 'yaml';
 import {SettingsError} from './errors.js';
@@ -43,8 +43,8 @@
 /**
  * Reads and validates a YAML settings file.
  *
- * @throws SettingsError when the file cannot be read, is not valid YAML, or a key
- *   is invalid.
+ * @throws SettingsError when the file cannot be read, is not valid YAML, or a
+ *   key is invalid.
  * @example
  * const settings = loadSettings(AgentSettingsSchema, 'agent.yaml');
  */
--- a/packages/core/src/tokens.ts
+++ b/packages/core/src/tokens.ts
@@ -8,8 +8,8 @@
 export const CHARS_PER_TOKEN = 4;
 
 /**
- * Longest prompt, in tokens, that counts as short. Agents run short prompts in a
- * separate lane, ahead of long ones.
+ * Longest prompt, in tokens, that counts as short. Agents run short prompts in
+ * a separate lane, ahead of long ones.
  */
 export const SHORT_MAX_TOKENS = 32_768;
 
--- a/packages/core/src/uncaught-errors.test.ts
+++ b/packages/core/src/uncaught-errors.test.ts
@@ -45,7 +45,8 @@
   });
 
   it('exits with status 1 for thrown values that are not errors', async () => {
-    // Guards against a handler that itself fails on a value without a string form.
+    // Guards against a handler that itself fails on a value without a string
+    // form.
     for (const thrown of [undefined, null, Object.create(null), 7]) {
       const {handle, exits} = createHarness();
       handle(thrown);
@@ -55,8 +56,8 @@
   });
 
   it('keeps the process running after connection errors without a system call', () => {
-    // Guards against exiting on connection errors that Node raises itself, which
-    // have a code but no system call.
+    // Guards against exiting on connection errors that Node raises itself,
+    // which have a code but no system call.
     for (const code of ['ECONNRESET', 'EPIPE', 'HPE_INVALID_CONSTANT']) {
       const {handle, exits, countDrains} = createHarness();
       handle(Object.assign(new Error('socket hang up'), {code}));
--- a/packages/core/src/uncaught-errors.ts
+++ b/packages/core/src/uncaught-errors.ts
@@ -44,9 +44,9 @@
 }
 
 /**
- * Creates a handler of uncaught errors. Connection errors are only logged. After
- * any other error the state may be inconsistent, so the process drains and
- * exits, to be restarted.
+ * Creates a handler of uncaught errors. Connection errors are only logged.
+ * After any other error the state may be inconsistent, so the process drains
+ * and exits, to be restarted.
  *
  * @example
  * handleUncaughtErrors(createUncaughtErrorHandler(options));
@@ -103,7 +103,10 @@
   exit(EXIT_UNCAUGHT);
 }
 
-/** Converts any thrown value to an error, including objects without a string form. */
+/**
+ * Converts any thrown value to an error, including objects without a string
+ * form.
+ */
 function toError(thrown: unknown): NodeJS.ErrnoException {
   if (thrown instanceof Error) return thrown;
   return new Error(
