--- a/packages/core/src/listen.ts
+++ b/packages/core/src/listen.ts
@@ -51,7 +51,7 @@
  */
 const IDLE_ITERATIONS = 3;
 
-/** Longest wait for pending reads, in ms, as callers may keep connecting. */
+/** Limit on the wait for pending reads, in ms: callers may keep connecting. */
 const MAX_READ_WAIT_MS = 1000;
 
 /**
--- a/packages/core/src/loopback.ts
+++ b/packages/core/src/loopback.ts
@@ -2,12 +2,12 @@
 
 /**
  * Builds a loopback address that no other test process uses, from the process
- * id and `index`, which ranges from 0 to 3.
+ * id and `hostIndex`, an integer from 0 to 3.
  *
  * @example
  * buildLoopbackHost(1); // '127.0.98.13'
  */
-export function buildLoopbackHost(index: number): string {
-  const bits = process.pid * 4 + index;
+export function buildLoopbackHost(hostIndex: number): string {
+  const bits = process.pid * 4 + hostIndex;
   return `127.${(bits >> 16) & 255}.${(bits >> 8) & 255}.${bits & 255}`;
 }
--- a/packages/core/src/protocol.ts
+++ b/packages/core/src/protocol.ts
@@ -109,8 +109,8 @@
 }
 
 /**
- * Acknowledges a dispatch (agent → gate): the agent is running and has received
- * the request.
+ * Acknowledges a dispatch (agent → gate): the agent is running and has
+ * received the request.
  */
 export interface AcceptedNotification {
   readonly requestId: string;
