--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -47,7 +47,7 @@
 const DRAIN_SLACK_MS = 2000;
 
 /**
- * State and background tasks of one agent.
+ * Holds the state of one agent process and runs its background tasks.
  *
  * @example
  * const agent = createAgent(settings);
@@ -192,7 +192,7 @@
     link.handle(RpcMethod.cancel, params =>
       this.dispatchHandler.cancel((params as CancelNotification).requestId),
     );
-    // A gate sends its configuration record when this agent's stays older.
+    // A gate sends its configuration record if this agent's remains outdated.
     link.handle(RpcMethod.record, params => this.watcher?.offer(params));
     link.onClose(() => {
       this.links.delete(link);
--- a/packages/agent/src/dispatch/dispatch-handler.ts
+++ b/packages/agent/src/dispatch/dispatch-handler.ts
@@ -179,7 +179,7 @@
       const refusal = this.checkOwnership(key, request);
       if (refusal !== undefined) return refusal;
     }
-    // There must be no await between the lookup above and the claim: two
+    // There must be no await between the ledger lookup and the claim, or two
     // duplicates could both find the key free.
     const claim = ledger.claim(key, request.requestId);
     if (claim === LEDGER_FULL) {
@@ -259,7 +259,8 @@
     };
     this.active.set(request.requestId, active);
     this.options.onLoadChange();
-    // A suspended or disconnected gate sends no cancel at the deadline.
+    // A suspended or disconnected gate sends no cancel at the deadline, so the
+    // agent cancels the request itself.
     const deadlineTimer = setTimeout(
       () => this.cancel(request.requestId),
       Math.max(0, request.deadlineAt - Date.now()),
--- a/packages/agent/src/dispatch/duplicate-requests.ts
+++ b/packages/agent/src/dispatch/duplicate-requests.ts
@@ -11,7 +11,8 @@
 import type {ChunkReceiver} from './chunk-receiver.js';
 
 /**
- * Duplicate requests at one agent and the first runs that they wait for.
+ * Answers the duplicate requests at one agent and tracks the first runs that
+ * duplicates wait for.
  *
  * @example
  * const duplicates = new DuplicateRequests(ledger, counters);
--- a/packages/agent/src/lanes/lanes.ts
+++ b/packages/agent/src/lanes/lanes.ts
@@ -34,8 +34,8 @@
 
   /**
    * Waits for a slot in `lane`. Resolves with undefined once the request has a
-   * slot, or with a reason when `deadlineAt` passes or `signal` aborts first.
-   * In the latter case the request has not started and is answered "not run".
+   * slot, or with a reason when `deadlineAt` passes or `signal` aborts first. A
+   * request that gets a reason has not started and is answered "not run".
    */
   enter(
     lane: Lane,
@@ -79,7 +79,7 @@
     next.finish(undefined);
   }
 
-  /** Returns the sums over both lanes. */
+  /** Returns the queued and in-flight requests, summed over both lanes. */
   readStats(): LaneStats {
     return {
       queued: this.waiting.short.length + this.waiting.long.length,
--- a/packages/agent/src/ledger/ledger.ts
+++ b/packages/agent/src/ledger/ledger.ts
@@ -27,7 +27,7 @@
 /** Result of `claim` when the ledger holds `maxEntries` unexpired keys. */
 export const LEDGER_FULL = 'full';
 
-/** Options of Ledger. */
+/** Options of a ledger. */
 export interface LedgerOptions {
   /**
    * Time for which an entry is kept, in ms.
@@ -35,8 +35,8 @@
    */
   readonly retainMs?: number;
   /**
-   * Most entries kept; further claims are refused, as dropping an unexpired
-   * entry could let its request run twice.
+   * Maximum number of entries; further claims are refused, as dropping an
+   * unexpired entry could let its request run twice.
    * @default 50_000
    */
   readonly maxEntries?: number;
@@ -115,7 +115,7 @@
     this.entries.delete(key);
   }
 
-  /** Number of keys held. */
+  /** Number of keys in the ledger. */
   get size(): number {
     return this.entries.size;
   }
--- a/packages/agent/src/ledger/ownership.ts
+++ b/packages/agent/src/ledger/ownership.ts
@@ -15,7 +15,7 @@
  */
 export type KeyVerdict = 'owned' | 'not-home' | 'forgotten';
 
-/** Options of KeyOwnership. */
+/** Options of a KeyOwnership. */
 export interface KeyOwnershipOptions {
   /** Id of this agent's target in the configuration record. */
   readonly targetId: string;
@@ -69,7 +69,7 @@
     const until =
       now + (this.options.configPropagationMs ?? 8000) + CLOCK_SKEW_MS;
     const former = [...held.former, {ids: held.ids, until}].filter(
-      f => f.until > now - this.options.retainMs,
+      targets => targets.until > now - this.options.retainMs,
     );
     this.pools.set(pool, {ids, former});
   }
--- a/packages/agent/src/reporting/load-reporter.ts
+++ b/packages/agent/src/reporting/load-reporter.ts
@@ -1,8 +1,8 @@
 /**
- * Load reports to gates. An active link gets a report when the load changes,
- * at most one every `reportMs`; every other link gets only heartbeats. The
- * cost of load reports thus grows with the traffic of the target rather than
- * with the number of gates and targets.
+ * Sends load reports to gates. An active link gets a report when the load
+ * changes, at most one every `reportMs`; every other link gets only heartbeats.
+ * The cost of load reports thus grows with the traffic of the target rather
+ * than with the number of gates and targets.
  */
 import {RpcMethod} from '@nutmeggauge/core';
 import type {LoadReport, RpcLink} from '@nutmeggauge/core';
@@ -10,7 +10,8 @@
 /**
  * A link is active when at least two dispatches arrived on it within this time,
  * in ms. In a large fleet a gate sends a target about one request a minute, so
- * frequent reports on its link would be outdated before the gate's next choice.
+ * frequent reports on its link would be outdated before the gate's next routing
+ * decision.
  */
 const ACTIVE_WINDOW_MS = 5000;
 
@@ -89,9 +90,13 @@
     const {reportMs} = this.options;
     const now = Date.now();
     const due = [...this.links]
-      .filter(([, s]) => isActive(s, now) && now - s.lastSentAt >= reportMs)
+      .filter(
+        ([, state]) =>
+          isActive(state, now) && now - state.lastSentAt >= reportMs,
+      )
       .map(([link]) => link);
-    // Called three times per request, so a report is built only for due links.
+    // The load changes three times per request, so a report is built only if a
+    // link is due.
     if (due.length > 0) this.broadcast(due);
   }
 
--- a/packages/agent/src/settings.ts
+++ b/packages/agent/src/settings.ts
@@ -25,14 +25,14 @@
       shortMaxTokens: z.number().int().positive().default(SHORT_MAX_TOKENS),
       /** Whether the engine is asked to prefill shorter prompts first. */
       prioritize: z.boolean().default(true),
-      /** Most short requests in flight at the target at once. */
+      /** Maximum number of short requests in flight at the target. */
       shortSlots: z.number().int().positive().default(48),
-      /** Most long requests in flight at the target at once. */
+      /** Maximum number of long requests in flight at the target. */
       longSlots: z.number().int().positive().default(16),
     })
     .prefault({}),
   /**
-   * Configuration service to watch; without it the record version of keyed
+   * Configuration service to watch; if absent, the record version of keyed
    * requests is not checked.
    */
   configService: z
@@ -52,7 +52,10 @@
       bootstrap: z.boolean().default(false),
       /** Time for which a caller's idempotency key is honoured, in ms. */
       retainMs: z.number().int().positive().default(900_000),
-      /** Most keys held; requests with further keys are refused as not run. */
+      /**
+       * Maximum number of keys in the ledger; requests with further keys are
+       * refused as not run.
+       */
       maxEntries: z.number().int().positive().default(50_000),
     })
     .prefault({}),
--- a/packages/agent/src/target/engine-target.ts
+++ b/packages/agent/src/target/engine-target.ts
@@ -14,7 +14,8 @@
  */
 const MIN_LEASE_MS = 1000;
 
-// A token event without text would fail later, in the ledger.
+// Requires the text, because a token without text would cause an error later,
+// in the ledger.
 const TokenEventSchema = z.object({
   seq: z.number().int().nonnegative(),
   text: z.string(),
@@ -77,7 +78,8 @@
     }
     if (response.statusCode !== 200) {
       await response.body.dump();
-      // The engine answers 503 or 400 before it admits the sequence.
+      // The engine answers 503 or 400 before it admits the sequence, so the
+      // request did not run.
       return {
         status: 'not-run',
         reason:
@@ -111,7 +113,8 @@
 /**
  * Parses the data of a `done` event into an outcome.
  *
- * @param chunks - Chunks of the whole answer, with those before a resume.
+ * @param chunks - Number of chunks of the whole answer, including those before
+ * a resume.
  */
 function toDoneOutcome(data: string, chunks: number): DispatchOutcome {
   const {tokens, cachedTokens} = DoneEventSchema.parse(JSON.parse(data));
--- a/packages/agent/src/target/plain-target.ts
+++ b/packages/agent/src/target/plain-target.ts
@@ -13,10 +13,10 @@
  */
 const HANG_GRACE_MS = 30_000;
 
-/** Status by which a service promises that it did not run the call. */
+/** HTTP status by which a service reports that it did not run the call. */
 const NOT_RUN_STATUS = 429;
 
-/** Statuses that reject the call itself, so that a retry cannot succeed. */
+/** HTTP statuses that reject the call itself: a retry cannot succeed. */
 const FINAL_REFUSALS: ReadonlySet<number> = new Set([
   400, 401, 403, 404, 405, 410, 413, 415, 422,
 ]);
--- a/packages/gate/src/admission/estimate.ts
+++ b/packages/gate/src/admission/estimate.ts
@@ -7,7 +7,10 @@
 import type {TargetView} from '../membership/target-link.js';
 import type {RouteRequest} from '../routing/router.js';
 
-/** Engine speeds for the estimate, and whether admission applies it. */
+/**
+ * Engine speeds for the estimate, and whether admission refuses requests by the
+ * estimate.
+ */
 export interface EstimateFigures {
   readonly prefillTokensPerSecond: number;
   readonly decodeStepMs: number;
--- a/packages/gate/src/api/handler-context.ts
+++ b/packages/gate/src/api/handler-context.ts
@@ -1,4 +1,4 @@
-/** State and services of the gate that serving a caller's request uses. */
+/** Context that a gate passes to the handlers of caller requests. */
 import type {
   Account,
   ConfigRecord,
--- a/packages/gate/src/api/request-log.test.ts
+++ b/packages/gate/src/api/request-log.test.ts
@@ -11,15 +11,15 @@
   const events: string[] = [];
   /** Fields of each `request_ended` event. */
   const requestEndedFields: LogFields[] = [];
-  const drop = () => undefined;
+  const doNothing = () => undefined;
   const log: Logger = {
     info: (event, fields = {}) => {
       events.push(event);
       if (event === 'request_ended') requestEndedFields.push(fields);
     },
-    warn: drop,
-    error: drop,
-    debug: drop,
+    warn: doNothing,
+    error: doNothing,
+    debug: doNothing,
   };
   let server: Server;
   let port: number;
@@ -27,7 +27,7 @@
   before(async () => {
     server = createServer((req, res) => {
       observeRequest(log, 'r-1', req, res);
-      req.on('error', drop);
+      req.on('error', doNothing);
       req.resume().once('end', () => res.writeHead(503).end('later'));
     });
     observeConnections(log, server);
--- a/packages/gate/src/api/serve-admitted.ts
+++ b/packages/gate/src/api/serve-admitted.ts
@@ -1,5 +1,5 @@
 /**
- * Serves one admitted request: reads its idempotency and deadline, checks the
+ * Serves one admitted request: reads its idempotency key and deadline, checks the
  * deadline against the estimate, dispatches the request, and sends the answer.
  */
 import {
@@ -61,7 +61,7 @@
   const idempotency = readIdempotency(admitted);
   if ((idempotency.keyMintedAt ?? 0) > startedAt + CLOCK_SKEW_MS) {
     // A restarted agent assumes that its ledger contains every key minted after
-    // the restart. A key with a future timestamp would falsely count as one.
+    // the restart. A key with a future timestamp would wrongly count as such a key.
     sendJson(
       res,
       400,
--- a/packages/gate/src/gate.ts
+++ b/packages/gate/src/gate.ts
@@ -178,8 +178,8 @@
     await waitMs(this.settings.drainNoticeMs);
     this.closed = true;
     await this.closeListener();
-    const giveUpAt = Date.now() + this.settings.drainTimeoutMs;
-    while (this.requests.count > 0 && Date.now() < giveUpAt)
+    const drainDeadlineAt = Date.now() + this.settings.drainTimeoutMs;
+    while (this.requests.count > 0 && Date.now() < drainDeadlineAt)
       await waitMs(DRAIN_POLL_MS);
     this.log.info('drain_finished', {left: this.requests.count});
     this.close();
--- a/packages/gate/src/membership/agent-connection.test.ts
+++ b/packages/gate/src/membership/agent-connection.test.ts
@@ -39,9 +39,9 @@
     });
     connection.start();
     const waitUntil = async (check: () => boolean) => {
-      const giveUpAt = Date.now() + 5000;
+      const timeoutAt = Date.now() + 5000;
       while (!check()) {
-        if (Date.now() > giveUpAt)
+        if (Date.now() > timeoutAt)
           throw new Error('condition not met within 5 s');
         await waitMs(5);
       }
@@ -75,7 +75,7 @@
     }
   });
 
-  it('accepts an ack that arrived in time but is read after the timeout because the gate was suspended', async () => {
+  it('accepts an ack that arrived in time when a suspended gate reads it after the timeout', async () => {
     // Guards against an ack timeout that fires when the gate resumes from a
     // suspension, before the gate reads the ack that arrived meanwhile.
     const server = createServer(socket => {
--- a/packages/gate/src/membership/agent-connection.ts
+++ b/packages/gate/src/membership/agent-connection.ts
@@ -34,7 +34,7 @@
 
 /**
  * Time for which an agent may hold an older configuration record before the
- * gate sends its own, in ms. An agent that can reach the configuration service
+ * gate sends the newer one, in ms. An agent that can reach the configuration service
  * updates its record sooner.
  */
 const STALE_RECORD_GRACE_MS = 2000;
@@ -85,7 +85,7 @@
    * length class.
    */
   unreportedByClass = createClassCounts();
-  /** True while the platform's host list gives this host's state as leaving. */
+  /** True while the platform's host list reports the host as leaving. */
   leavingByHostList = false;
   /** Time of the last load report by the gate's clock, in epoch ms. */
   private lastReportAt = 0;
--- a/packages/gate/src/membership/membership.test.ts
+++ b/packages/gate/src/membership/membership.test.ts
@@ -53,9 +53,9 @@
       hostListPollMs: 10,
     });
     const waitUntil = async (check: () => boolean) => {
-      const giveUpAt = Date.now() + 5000;
+      const timeoutAt = Date.now() + 5000;
       while (!check()) {
-        if (Date.now() > giveUpAt)
+        if (Date.now() > timeoutAt)
           throw new Error('condition not met within 5 s');
         await waitMs(5);
       }
--- a/packages/gate/src/membership/membership.ts
+++ b/packages/gate/src/membership/membership.ts
@@ -1,6 +1,6 @@
 /**
  * The targets of each pool as one gate sees them. They come from the
- * configuration record; hosts that the host list gives as leaving and agents
+ * configuration record; hosts that the host list reports as leaving and agents
  * that report a drain are not usable. Each target has one AgentConnection.
  */
 import {request} from 'undici';
@@ -116,7 +116,7 @@
     );
   }
 
-  /** Stops reading the host list and all connections. */
+  /** Stops reading the host list, and stops all connections. */
   stop(): void {
     clearInterval(this.hostListTimer);
     for (const connection of this.listAll()) connection.stop();
--- a/packages/gate/src/routing/load-routers.test.ts
+++ b/packages/gate/src/routing/load-routers.test.ts
@@ -18,7 +18,7 @@
   const router = new ClassLoadRouter(pickFirst);
   const shortRequest = createRequest('q'.repeat(4000));
 
-  it('chooses a target with long pending prompts over one with short pending prompts for a short prompt', () => {
+  it('chooses a target with long pending prompts over one with short ones for a short prompt', () => {
     // Guards against queueing a short prompt behind other short prompts because
     // a long prompt elsewhere has more pending tokens.
     const longBacklog = createTarget('long', [0, 0, 0, 1_000_000]);
@@ -36,8 +36,8 @@
   });
 
   it('counts prompt tokens that the gate sent since the last load report', () => {
-    // Guards against sending every request to one target between two of its load
-    // reports.
+    // Guards against sending every request to one target between two of its
+    // load reports.
     const withUnreportedTokens = createTarget(
       'sent',
       [0, 0, 0, 0],
@@ -51,7 +51,7 @@
 });
 
 describe('TokenLoadRouter', () => {
-  it('chooses a target that was sent the same prompt prefix before, although another has fewer pending tokens', () => {
+  it('chooses a target that was sent the same prompt prefix although another has fewer pending tokens', () => {
     const router = new TokenLoadRouter(pickFirst);
     const systemPrompt = 's'.repeat(16_000);
     const first = createTarget('first', [0, 0, 0, 0]);
--- a/packages/gate/src/routing/load-routers.ts
+++ b/packages/gate/src/routing/load-routers.ts
@@ -36,7 +36,8 @@
   last: number,
 ): number {
   let sum = 0;
-  for (let c = first; c <= last; c++) sum += countPendingTokens(target, c);
+  for (let lengthClass = first; lengthClass <= last; lengthClass++)
+    sum += countPendingTokens(target, lengthClass);
   return sum;
 }
 
@@ -182,7 +183,7 @@
     request: RouteRequest,
   ): number {
     const ownClass = findLengthClass(request.promptTokens);
-    const before = sumPendingTokens(target, 0, ownClass);
+    const tokensAhead = sumPendingTokens(target, 0, ownClass);
     const longerTokens = sumPendingTokens(
       target,
       ownClass + 1,
@@ -190,7 +191,7 @@
     );
     return (
       this.estimatePrefillTokens(target, request) +
-      before +
+      tokensAhead +
       Math.min(longerTokens, LONGER_PROMPT_COST_TOKENS) +
       ACTIVE_REQUEST_COST_TOKENS * countActiveRequests(target)
     );
--- a/packages/gate/src/routing/prefix-memory.ts
+++ b/packages/gate/src/routing/prefix-memory.ts
@@ -1,6 +1,6 @@
 /**
  * Records which prompt prefixes were sent to which target and are therefore
- * likely in its prefix cache. The gate uses its own requests because the
+ * likely in its prefix cache. The gate records its own requests because the
  * engines' cache events are late and incomplete (docs/design/0005-routing.md).
  */
 import {createHash} from 'node:crypto';
--- a/packages/gate/src/settings.ts
+++ b/packages/gate/src/settings.ts
@@ -36,7 +36,7 @@
   hostList: z
     .object({
       url: z.url(),
-      /** Interval between reads, in ms. */
+      /** Interval between reads of the host list, in ms. */
       pollMs: z.number().int().positive().default(1000),
     })
     .optional(),
@@ -89,8 +89,8 @@
       /** Number of targets of each pool to connect to; 0 for all. */
       subsetSize: z.number().int().min(0).default(0),
       /**
-       * Age of an agent's last load report above which it gets no requests, in
-       * ms.
+       * Age of an agent's last load report above which the agent gets no
+       * requests, in ms.
        */
       heartbeatStaleMs: z.number().int().positive().default(2500),
       /**
@@ -106,14 +106,15 @@
       prefillTokensPerSecond: z.number().positive().default(400_000),
       decodeStepMs: z.number().positive().default(8),
       /**
-       * Refuses a request at once if no usable target can meet its deadline.
+       * Whether to refuse a request at once if no usable target can meet its
+       * deadline.
        */
       refusesLate: z.boolean().default(true),
     })
     .prefault({}),
   /**
    * Time for which a draining gate still accepts requests while `/healthz`
-   * answers 503, in ms. It lets the load balancer stop sending first.
+   * answers 503, in ms. The delay lets the load balancer stop sending first.
    */
   drainNoticeMs: z.number().int().min(0).default(3000),
   /**
--- a/packages/gate/src/streaming/reassembly.test.ts
+++ b/packages/gate/src/streaming/reassembly.test.ts
@@ -12,7 +12,7 @@
   const stream = createChunkStream();
   const out: string[] = [];
   const done = stream.observe(text => out.push(text));
-  for (const piece of order) stream.push({requestId: 'r', ...piece});
+  for (const chunk of order) stream.push({requestId: 'r', ...chunk});
   stream.end();
   await done;
   return out;
--- a/packages/gate/src/test/target.ts
+++ b/packages/gate/src/test/target.ts
@@ -1,5 +1,5 @@
 /**
- * Test helper that creates targets with a given load for routing and admission.
+ * Creates targets with a given load for the tests of routing and admission.
  */
 import type {TargetView} from '../membership/target-link.js';
 
--- a/packages/nutmeggauge/src/bench/charts.test.ts
+++ b/packages/nutmeggauge/src/bench/charts.test.ts
@@ -55,12 +55,14 @@
 });
 
 describe('report table formatting', () => {
-  it('escapes markup in HTML cells and replaces bars and control characters in Markdown cells', () => {
+  it('escapes markup in HTML and replaces vertical bars and control characters in Markdown', () => {
     const table = {head: ['id'], rows: [['a<b>&"']]};
     expect(renderHtmlTable(table)).toInclude('<td>a&lt;b&gt;&amp;&quot;</td>');
     expect(formatHtml('plain')).toEqual('plain');
     expect(formatTextTable(table)).toEqual('| id |\n| --- |\n| a<b>&" |');
-    const odd = {head: ['id'], rows: [['a\n|\u001b[1mb']]};
-    expect(formatTextTable(odd)).toEqual('| id |\n| --- |\n| a   [1mb |');
+    const unsafeTable = {head: ['id'], rows: [['a\n|\u001b[1mb']]};
+    expect(formatTextTable(unsafeTable)).toEqual(
+      '| id |\n| --- |\n| a   [1mb |',
+    );
   });
 });
--- a/packages/nutmeggauge/src/load/summary.ts
+++ b/packages/nutmeggauge/src/load/summary.ts
@@ -17,17 +17,20 @@
   readonly refused: number;
   readonly refusedByReason: Readonly<Record<string, number>>;
   readonly unknown: number;
-  /** Requests that got neither a complete answer nor an error report. */
+  /**
+   * Number of requests that got neither a complete answer nor an error report.
+   */
   readonly lost: number;
   /** Description of each lost request as its caller observed it. */
   readonly losses: readonly string[];
-  /** Idempotency keys that targets executed more than once. */
+  /** Number of idempotency keys with more than one execution. */
   readonly doubled: number;
   /**
-   * Requests that a gate reported as not executed although a target ran them.
+   * Number of requests that a gate reported as not executed although a target
+   * ran them.
    */
   readonly falseNotRun: number;
-  /** Orders whose repeated sends returned different slip numbers. */
+  /** Number of orders whose sends returned different slip numbers. */
   readonly repeatMismatches: number;
   readonly ttftByBucket: Readonly<Record<string, LatencySummary>>;
   /** TTFT of prompts of up to 32k tokens, which run in the short lane. */
--- a/packages/nutmeggauge/src/load/workload.ts
+++ b/packages/nutmeggauge/src/load/workload.ts
@@ -110,19 +110,19 @@
     });
   }
   const durationMs = Math.max(atMs, 1);
-  for (let o = 0; o < spec.orders; o++) {
+  for (let orderIndex = 0; orderIndex < spec.orders; orderIndex++) {
     const at = draw() * durationMs;
     const order = {
       kind: 'order',
-      index: spec.requests + o,
-      key: spec.orderKeys[o % spec.orderKeys.length],
-      orderName: `order-${o}`,
+      index: spec.requests + orderIndex,
+      key: spec.orderKeys[orderIndex % spec.orderKeys.length],
+      orderName: `order-${orderIndex}`,
     } as const;
     plan.push({...order, atMs: at});
-    if (o < spec.repeatedOrders)
+    if (orderIndex < spec.repeatedOrders)
       plan.push({
         ...order,
-        index: spec.requests + spec.orders + o,
+        index: spec.requests + spec.orders + orderIndex,
         atMs: at + (spec.repeatAfterMs ?? 50),
       });
   }
--- a/packages/nutmeggauge/src/measure/config-measures.ts
+++ b/packages/nutmeggauge/src/measure/config-measures.ts
@@ -24,7 +24,7 @@
  */
 async function measurePropagation(): Promise<Slope[]> {
   const propagationMs: Array<[number, number]> = [];
-  const reads: Array<[number, number]> = [];
+  const readRates: Array<[number, number]> = [];
   for (const readers of [50, 350, 1000, 1850]) {
     const standIns = await startLocalStandIns();
     standIns.config.publish(buildRecord(1, buildUnreachableTargets(60)));
@@ -53,9 +53,9 @@
     await waitMs(IDLE_MS);
     const idleReadsPerSecond =
       (standIns.config.calls() - before) / (IDLE_MS / 1000);
-    // Watches may last longer than the idle interval, so that the counted reads
-    // are too few; readers / WATCH_MS is the exact lower bound.
-    reads.push([
+    // Watches may last longer than the idle interval, so that too few reads are
+    // counted; readers / WATCH_MS is the exact lower bound.
+    readRates.push([
       readers,
       Math.max(idleReadsPerSecond, readers / (WATCH_MS / 1000)),
     ]);
@@ -73,7 +73,7 @@
       'config.reads_s_by_readers',
       'readers',
       'reads/s without changes',
-      reads,
+      readRates,
     ),
   ];
 }
--- a/packages/nutmeggauge/src/measure/fit.ts
+++ b/packages/nutmeggauge/src/measure/fit.ts
@@ -33,7 +33,7 @@
 ): Slope {
   const pairs = points.map(([x, y]) => [x, y]);
   const {m, b} = linearRegression(pairs);
-  const fit = rSquared(pairs, x => m * x + b);
+  const fitRSquared = rSquared(pairs, x => m * x + b);
   return {
     name,
     xName,
@@ -42,6 +42,6 @@
     slope: m,
     intercept: b,
     // R² is NaN if all values are equal; the line is exact then.
-    rSquared: Number.isNaN(fit) ? 1 : fit,
+    rSquared: Number.isNaN(fitRSquared) ? 1 : fitRSquared,
   };
 }
--- a/packages/nutmeggauge/src/measure/fixtures.ts
+++ b/packages/nutmeggauge/src/measure/fixtures.ts
@@ -109,7 +109,9 @@
     plainUrl: `http://${HOST}:${readPort(plain.server)}`,
     engineUrl: `http://${HOST}:${readPort(engine.server)}`,
     close: async () => {
-      await Promise.all([config, plain, engine].map(s => s.close()));
+      await Promise.all(
+        [config, plain, engine].map(standIn => standIn.close()),
+      );
     },
   };
 }
--- a/packages/nutmeggauge/src/measure/gate-measures.ts
+++ b/packages/nutmeggauge/src/measure/gate-measures.ts
@@ -111,7 +111,9 @@
   ];
 }
 
-/** Measures memory by number of targets that a gate knows but has no link to. */
+/**
+ * Measures memory by number of targets that a gate knows but has no link to.
+ */
 async function measureTargets(runDir: string): Promise<Slope[]> {
   const rss: Array<[number, number]> = [];
   for (const targets of TARGET_COUNTS) {
--- a/packages/nutmeggauge/src/measure/leaving-measures.ts
+++ b/packages/nutmeggauge/src/measure/leaving-measures.ts
@@ -9,11 +9,11 @@
 
 /** Times until a gate stops routing to a target, in ms. */
 export interface RemovalLatencies {
-  /** Time after the target's agent starts to drain. */
+  /** Time after the target's agent starts to drain, in ms. */
   readonly drainMs: number;
-  /** Time after the target's agent is paused (SIGSTOP). */
+  /** Time after the target's agent is paused (SIGSTOP), in ms. */
   readonly freezeMs: number;
-  /** Time after the target's agent is killed (SIGKILL). */
+  /** Time after the target's agent is killed (SIGKILL), in ms. */
   readonly killMs: number;
 }
 
--- a/packages/nutmeggauge/src/measure/measured-process.ts
+++ b/packages/nutmeggauge/src/measure/measured-process.ts
@@ -31,7 +31,7 @@
  *
  * @example
  * const gate = await startMeasuredProcess('gate', 'runs/measure', settings);
- * const corePercent = await gate.measureCoreShare(5000);
+ * const corePercent = await gate.measureCorePercent(5000);
  */
 export class MeasuredProcess {
   constructor(
@@ -46,7 +46,7 @@
   }
 
   /** Measures the mean CPU usage over the next `ms`, in % of one core. */
-  async measureCoreShare(ms: number): Promise<number> {
+  async measureCorePercent(ms: number): Promise<number> {
     const before = await this.readUsage();
     await waitMs(ms);
     const after = await this.readUsage();
@@ -133,7 +133,7 @@
  * NaN after `limitMs`.
  *
  * @example
- * const ms = await measureUntil(() => gate.isReady());
+ * const ms = await measureUntil(async () => (await gate.readVersion()) === 2);
  */
 export async function measureUntil(
   check: () => boolean | Promise<boolean>,
--- a/packages/nutmeggauge/src/measure/role-slopes.ts
+++ b/packages/nutmeggauge/src/measure/role-slopes.ts
@@ -44,7 +44,7 @@
   await waitMs(SETTLE_MS);
   const before = await readBytes();
   const [corePercent] = await Promise.all([
-    measuredProcess.measureCoreShare(MEASURE_MS),
+    measuredProcess.measureCorePercent(MEASURE_MS),
     load(),
   ]);
   const bytes = (await readBytes()) - before;
--- a/packages/standins/src/config-service/server.ts
+++ b/packages/standins/src/config-service/server.ts
@@ -2,8 +2,8 @@
  * Stand-in for the configuration service. Readers fetch the current record or
  * watch for a newer one by long polling. An admin API, used by the tests and
  * the demo in place of an operator, publishes records and switches the service
- * to unavailable or stale. The stand-in counts every reader request, a watch as
- * one.
+ * to unavailable or stale. The stand-in counts every reader request; a watch
+ * counts once.
  */
 import {createServer} from 'node:http';
 import {
--- a/packages/standins/src/engine/options.ts
+++ b/packages/standins/src/engine/options.ts
@@ -22,7 +22,7 @@
    */
   readonly prefillTokensPerSecond?: number;
   /**
-   * Most prompt tokens prefilled in one step of chunked prefill.
+   * Maximum number of prompt tokens prefilled in one step of chunked prefill.
    * @default 16_384
    */
   readonly prefillChunkTokens?: number;
@@ -32,12 +32,13 @@
    */
   readonly decodeStepMs?: number;
   /**
-   * Most sequences decoded in one step.
+   * Maximum number of sequences decoded in one step.
    * @default 64
    */
   readonly maxBatch?: number;
   /**
-   * Most sequences waiting for KV cache space; further ones are refused.
+   * Maximum number of sequences that wait for KV cache space; further sequences
+   * are refused.
    * @default 256
    */
   readonly maxWaiting?: number;
--- a/packages/standins/src/engine/orders.ts
+++ b/packages/standins/src/engine/orders.ts
@@ -7,14 +7,16 @@
 import {createLogger} from '@nutmeggauge/core';
 import type {FencingMode} from './options.js';
 
-/** An order to the engine; a lower `fence` than before marks it as outdated. */
+/**
+ * An order to the engine; outdated if an earlier order had a higher `fence`.
+ */
 export interface EngineOrder {
   readonly fence: number;
   readonly kind: 'load-model' | 'load-adapters' | 'set-role';
   readonly value: string;
 }
 
-/** Key of the engine's setting that each kind of order sets. */
+/** Field of the engine's setting that each kind of order changes. */
 const STATE_KEY = {
   'load-model': 'model',
   'load-adapters': 'adapters',
@@ -54,7 +56,7 @@
 
   /**
    * Describes the applied orders and the setting for `GET /v1/orders`. Mode
-   * `ignore` reports no highest fencing token, as it checks none.
+   * `ignore` reports no highest fencing token, as it checks no tokens.
    */
   describe(): object {
     return {
--- a/packages/standins/src/engine/scheduler.ts
+++ b/packages/standins/src/engine/scheduler.ts
@@ -1,5 +1,5 @@
 /**
- * Continuous batching with chunked prefill. Each step prefills up to
+ * Simulates continuous batching with chunked prefill. Each step prefills up to
  * `prefillChunkTokens` in priority order and decodes one token for each of up
  * to `maxBatch` sequences. A step lasts `decodeStepMs` plus the prefill time,
  * and its tokens are sent at its end. A sequence whose prefill completes in a
@@ -25,7 +25,7 @@
   readonly requestId: string;
   readonly prompt: string;
   readonly maxTokens: number;
-  /** Priority of the sequence; lower runs first and 0 is the most urgent. */
+  /** Priority of the sequence; lower values run first, 0 before all. */
   readonly priority: number;
   /** Time after which the KV cache reservation is released, in ms. */
   readonly leaseMs: number;
@@ -58,12 +58,12 @@
 const MIN_STEP_MS = 1;
 
 /**
- * Interval at which an engine without running sequences retries to admit
- * waiting ones, such as when its KV cache is full, in ms.
+ * Interval at which an engine without running sequences tries again to admit
+ * waiting sequences, for example after its KV cache was full, in ms.
  */
 const IDLE_RECHECK_MS = 20;
 
-/** Load of one engine. */
+/** Load of one engine, in sequences and tokens. */
 export interface EngineLoad {
   readonly waiting: number;
   readonly running: number;
@@ -128,12 +128,15 @@
 
   /** Returns the current load, without reporting lag. */
   readLoad(): EngineLoad {
-    const all = [...this.waiting, ...this.running];
+    const sequences = [...this.waiting, ...this.running];
     return {
       waiting: this.waiting.length,
       running: this.running.length,
-      pendingPrefillTokens: all.reduce((sum, s) => sum + s.prefillLeft, 0),
-      pendingDecodeTokens: all.reduce(
+      pendingPrefillTokens: sequences.reduce(
+        (sum, s) => sum + s.prefillLeft,
+        0,
+      ),
+      pendingDecodeTokens: sequences.reduce(
         (sum, s) => sum + (s.request.maxTokens - s.generated),
         0,
       ),
@@ -216,22 +219,23 @@
   private admitWaiting(): void {
     this.waiting.sort(compareSequences);
     for (const sequence of [...this.waiting]) {
-      const need = sequence.promptTokens + sequence.request.maxTokens;
-      if (need > this.options.kvCapacityTokens) {
+      const neededTokens = sequence.promptTokens + sequence.request.maxTokens;
+      if (neededTokens > this.options.kvCapacityTokens) {
         this.finish(sequence);
         sequence.listener.onFail('too_large');
         continue;
       }
-      if (this.kvUsed + need > this.options.kvCapacityTokens) continue;
+      if (this.kvUsed + neededTokens > this.options.kvCapacityTokens) continue;
       this.waiting.splice(this.waiting.indexOf(sequence), 1);
-      this.kvUsed += need;
+      this.kvUsed += neededTokens;
       sequence.reserved = true;
       const hits = this.cache.countLeadingHits(sequence.blocks);
       sequence.cachedTokens = Math.min(
         sequence.promptTokens,
         hits * this.options.blockTokens,
       );
-      // The last prompt token is always prefilled: it yields the first token.
+      // The last prompt token is always prefilled, because its prefill yields
+      // the first generated token.
       sequence.prefillLeft = Math.max(
         1,
         sequence.promptTokens - sequence.cachedTokens,
--- a/packages/standins/src/engine/server.ts
+++ b/packages/standins/src/engine/server.ts
@@ -137,7 +137,7 @@
       sendJson(res, 503, {error: 'overloaded'});
       return;
     }
-    // Logged because the log survives a kill of the process.
+    // Logs the execution, because the log survives a kill of the process.
     this.log.info('sequence_submitted', {requestId});
     startSse(res);
     // A disconnected caller must not keep KV cache space reserved.
--- a/packages/standins/src/plain-service/server.ts
+++ b/packages/standins/src/plain-service/server.ts
@@ -23,7 +23,7 @@
 
 /**
  * Fault that the stand-in injects: `drop-reply` executes the call, then closes
- * the connection before answering, like a service that crashes in between;
+ * the connection before answering, like a service that crashes in the middle;
  * `reject` refuses every call with 429 before executing it; `not-found`
  * answers 404 as the service's own answer to the call.
  */
@@ -84,7 +84,7 @@
         op: call.op,
         at: Date.now(),
       });
-      // Logged because the log survives a kill of the process.
+      // Logs the execution, because the log survives a kill of the process.
       log.info('call_executed', {
         requestId: call.requestId,
         ledgerKey: call.ledgerKey,
