--- a/packages/agent/src/ledger/ownership.ts
+++ b/packages/agent/src/ledger/ownership.ts
@@ -69,7 +69,7 @@
     const until =
       now + (this.options.configPropagationMs ?? 8000) + CLOCK_SKEW_MS;
     const former = [...held.former, {ids: held.ids, until}].filter(
-      targets => targets.until > now - this.options.retainMs,
+      formerTargets => formerTargets.until > now - this.options.retainMs,
     );
     this.pools.set(pool, {ids, former});
   }
--- a/packages/agent/src/orders/engine-orders.ts
+++ b/packages/agent/src/orders/engine-orders.ts
@@ -20,7 +20,7 @@
   confirmNewest(): Promise<boolean>;
 }
 
-/** Options of the reconciliation of one engine. */
+/** Options for the reconciliation of one engine. */
 export interface EngineOrdersOptions {
   readonly engineUrl: string;
   /** Id of the engine's target in the configuration record. */
--- a/packages/agent/src/reporting/load-reporter.ts
+++ b/packages/agent/src/reporting/load-reporter.ts
@@ -91,8 +91,8 @@
     const now = Date.now();
     const due = [...this.links]
       .filter(
-        ([, state]) =>
-          isActive(state, now) && now - state.lastSentAt >= reportMs,
+        ([, linkState]) =>
+          isActive(linkState, now) && now - linkState.lastSentAt >= reportMs,
       )
       .map(([link]) => link);
     // The load changes three times per request, so a report is built only if a
--- a/packages/gate/src/admin/admin-api.ts
+++ b/packages/gate/src/admin/admin-api.ts
@@ -125,12 +125,12 @@
         accounts: record?.accounts.length ?? 0,
         pools: record?.pools.length ?? 0,
       },
-      links: membership.listAll().length,
+      links: membership.listStarted().length,
     };
   }
 
   private describeTargets(): readonly object[] {
-    return this.options.context.membership.listAll().map(connection => ({
+    return this.options.context.membership.listStarted().map(connection => ({
       id: connection.id,
       pool: connection.pool,
       zone: connection.zone,
--- a/packages/gate/src/api/serve-admitted.ts
+++ b/packages/gate/src/api/serve-admitted.ts
@@ -61,7 +61,8 @@
   const idempotency = readIdempotency(admitted);
   if ((idempotency.keyMintedAt ?? 0) > startedAt + CLOCK_SKEW_MS) {
     // A restarted agent assumes that its ledger contains every key minted after
-    // the restart. A key with a future timestamp would wrongly count as such a key.
+    // the restart. A key with a future timestamp would wrongly count as such a
+    // key.
     sendJson(
       res,
       400,
--- a/packages/gate/src/membership/membership.test.ts
+++ b/packages/gate/src/membership/membership.test.ts
@@ -60,7 +60,7 @@
         await waitMs(5);
       }
     };
-    const isLeaving = () => membership.listAll()[0].leavingByHostList;
+    const isLeaving = () => membership.listStarted()[0].leavingByHostList;
     try {
       membership.apply(RECORD);
       membership.start();
--- a/packages/gate/src/membership/membership.ts
+++ b/packages/gate/src/membership/membership.ts
@@ -1,7 +1,7 @@
 /**
- * The targets of each pool as one gate sees them. They come from the
- * configuration record; hosts that the host list reports as leaving and agents
- * that report a drain are not usable. Each target has one AgentConnection.
+ * Tracks the targets of each pool for one gate. The configuration record lists
+ * the targets; hosts that the host list reports as leaving and agents that
+ * report a drain are not usable. Each target has one AgentConnection.
  */
 import {request} from 'undici';
 import {z} from 'zod';
@@ -72,7 +72,7 @@
       next.set(pool.id, connections);
       for (const connection of connections.values()) kept.add(connection);
     }
-    const previous = this.listAll();
+    const previous = this.listStarted();
     this.connectionsByPool = next;
     for (const connection of previous) {
       if (!kept.has(connection)) connection.stop();
@@ -100,7 +100,7 @@
   }
 
   /** Lists the started connections of this gate, usable or not. */
-  listAll(): AgentConnection[] {
+  listStarted(): AgentConnection[] {
     return [...this.connectionsByPool.values()]
       .flatMap(connections => [...connections.values()])
       .filter(connection => connection.isStarted);
@@ -119,7 +119,7 @@
   /** Stops reading the host list, and stops all connections. */
   stop(): void {
     clearInterval(this.hostListTimer);
-    for (const connection of this.listAll()) connection.stop();
+    for (const connection of this.listStarted()) connection.stop();
   }
 
   private listPool(pool: string): AgentConnection[] {
--- a/packages/gate/src/routing/load-routers.ts
+++ b/packages/gate/src/routing/load-routers.ts
@@ -183,7 +183,7 @@
     request: RouteRequest,
   ): number {
     const ownClass = findLengthClass(request.promptTokens);
-    const tokensAhead = sumPendingTokens(target, 0, ownClass);
+    const before = sumPendingTokens(target, 0, ownClass);
     const longerTokens = sumPendingTokens(
       target,
       ownClass + 1,
@@ -191,7 +191,7 @@
     );
     return (
       this.estimatePrefillTokens(target, request) +
-      tokensAhead +
+      before +
       Math.min(longerTokens, LONGER_PROMPT_COST_TOKENS) +
       ACTIVE_REQUEST_COST_TOKENS * countActiveRequests(target)
     );
--- a/packages/gate/src/streaming/reassembly.test.ts
+++ b/packages/gate/src/streaming/reassembly.test.ts
@@ -12,7 +12,7 @@
   const stream = createChunkStream();
   const out: string[] = [];
   const done = stream.observe(text => out.push(text));
-  for (const chunk of order) stream.push({requestId: 'r', ...chunk});
+  for (const arrival of order) stream.push({requestId: 'r', ...arrival});
   stream.end();
   await done;
   return out;
--- a/packages/standins/src/engine/scheduler.ts
+++ b/packages/standins/src/engine/scheduler.ts
@@ -25,7 +25,7 @@
   readonly requestId: string;
   readonly prompt: string;
   readonly maxTokens: number;
-  /** Priority of the sequence; lower values run first, 0 before all. */
+  /** Priority of the sequence; lower values run first, 0 is the highest. */
   readonly priority: number;
   /** Time after which the KV cache reservation is released, in ms. */
   readonly leaseMs: number;
