--- a/packages/agent/src/target/plain-target.ts
+++ b/packages/agent/src/target/plain-target.ts
@@ -16,7 +16,9 @@
 /** HTTP status by which a service reports that it did not run the call. */
 const NOT_RUN_STATUS = 429;
 
-/** HTTP statuses that reject the call itself: a retry cannot succeed. */
+/**
+ * HTTP statuses that reject the call itself, so that a retry cannot succeed.
+ */
 const FINAL_REFUSALS: ReadonlySet<number> = new Set([
   400, 401, 403, 404, 405, 410, 413, 415, 422,
 ]);
--- a/packages/gate/src/api/serve-admitted.ts
+++ b/packages/gate/src/api/serve-admitted.ts
@@ -1,6 +1,7 @@
 /**
- * Serves one admitted request: reads its idempotency key and deadline, checks the
- * deadline against the estimate, dispatches the request, and sends the answer.
+ * Serves one admitted request: reads its idempotency key and deadline, checks
+ * the deadline against the estimate, dispatches the request, and sends the
+ * answer.
  */
 import {
   CLOCK_SKEW_MS,
--- a/packages/gate/src/membership/agent-connection.ts
+++ b/packages/gate/src/membership/agent-connection.ts
@@ -34,8 +34,8 @@
 
 /**
  * Time for which an agent may hold an older configuration record before the
- * gate sends the newer one, in ms. An agent that can reach the configuration service
- * updates its record sooner.
+ * gate sends the newer one, in ms. An agent that can reach the configuration
+ * service updates its record sooner.
  */
 const STALE_RECORD_GRACE_MS = 2000;
 
--- a/packages/standins/src/engine/scheduler.ts
+++ b/packages/standins/src/engine/scheduler.ts
@@ -59,7 +59,7 @@
 
 /**
  * Interval at which an engine without running sequences tries again to admit
- * waiting sequences, for example after its KV cache was full, in ms.
+ * waiting sequences, for example when its KV cache is full, in ms.
  */
 const IDLE_RECHECK_MS = 20;
 
