--- a/packages/gate/src/routing/load-routers.ts
+++ b/packages/gate/src/routing/load-routers.ts
@@ -36,7 +36,8 @@
   last: number,
 ): number {
   let sum = 0;
-  for (let c = first; c <= last; c++) sum += countPendingTokens(target, c);
+  for (let lengthClass = first; lengthClass <= last; lengthClass++)
+    sum += countPendingTokens(target, lengthClass);
   return sum;
 }
 
--- a/packages/gate/src/streaming/reassembly.test.ts
+++ b/packages/gate/src/streaming/reassembly.test.ts
@@ -12,7 +12,7 @@
   const stream = createChunkStream();
   const out: string[] = [];
   const done = stream.observe(text => out.push(text));
-  for (const piece of order) stream.push({requestId: 'r', ...piece});
+  for (const arrival of order) stream.push({requestId: 'r', ...arrival});
   stream.end();
   await done;
   return out;
