--- a/packages/direct/src/errors.ts
+++ b/packages/direct/src/errors.ts
@@ -35,7 +35,7 @@
   }
 }
 
-/** Cause of a failed exchange with a target. */
+/** Cause of the failure of an exchange with a target. */
 export type ExchangeFault =
   | 'connect'
   /** The request head cannot be written, which is not a fault of the target. */
--- a/packages/direct/src/fleet/fleet-state.test.ts
+++ b/packages/direct/src/fleet/fleet-state.test.ts
@@ -15,7 +15,8 @@
 
 describe('fleet state', () => {
   it('ignores a configuration from a peer that is older than the known one', () => {
-    // Guards against a peer without the store that brings back a revoked key.
+    // Guards against a peer that cannot reach the store and brings back a
+    // revoked key.
     const state = createFleetState(() => 0);
     state.applyChange({kind: 'config', config: buildConfig(7)});
     state.applyShared({
@@ -114,8 +115,8 @@
   });
 
   it('applies newer facts from a peer and ignores older ones', () => {
-    // Guards against a gate without the store that does not learn from its
-    // peers that a target is draining.
+    // Guards against a gate that cannot reach the store and does not learn
+    // from its peers that a target is draining.
     const state = createFleetState(() => 0);
     state.applyChange({kind: 'target', target: buildTarget('a', 3)});
     const shared = {
@@ -182,7 +183,7 @@
     expect(listIds(state)).toEqual(['a@2000']);
   });
 
-  it('removes a target whose entry is malformed right after an outage', () => {
+  it('removes a target at once when its entry is malformed right after an outage', () => {
     // Guards against holding a target whose entry exists but cannot be decoded.
     const state = createFleetState(() => 100);
     state.applyChange({kind: 'target', target: buildTarget('a', 3)});
--- a/packages/direct/src/fleet/fleet-state.ts
+++ b/packages/direct/src/fleet/fleet-state.ts
@@ -47,11 +47,11 @@
   readonly targets: readonly Target[];
   /** Targets that are kept although their entry is missing from the store. */
   readonly held: readonly ExpiringName[];
-  /** Names whose entries are ignored as suspect until they are written again. */
+  /** Entries that are ignored as suspect until they are written again. */
   readonly doubts: readonly SharedSuspectEntry[];
 }
 
-/** Called after each change of the known facts. */
+/** Listener that is called after each change of the known facts. */
 export type FleetListener = (event: FleetEvent) => void;
 
 /** A change of the known facts. */
@@ -79,7 +79,10 @@
 export class FleetState {
   /** Newest known configuration; absent until the first one is known. */
   config: FleetConfig | undefined;
-  /** Position of the newest applied fact; gates compare it with each other. */
+  /**
+   * Position of the newest applied fact. Gates compare their positions to find
+   * out which of them has newer facts.
+   */
   position = NO_POSITION;
   /** Position up to which this gate itself has read the store. */
   private readPosition = NO_POSITION;
@@ -185,7 +188,7 @@
    *
    * @param outageStartedAt - Time of the last answer before the outage, on the
    *   monotonic clock, in ms. If unknown, targets that were removed cannot be
-   *   told from targets whose entry expired.
+   *   distinguished from targets whose entry expired.
    * @default -Infinity
    */
   markStoreRecovered(outageStartedAt = -Infinity): void {
@@ -213,13 +216,15 @@
       this.applyConfig(snapshot.config, 'store');
     const {targets, position} = snapshot;
     const malformed = new Set(snapshot.malformed);
-    const known = targets.map(target => target.position);
-    const newest = pickNewest([{...position, revision: 0}, ...known]);
+    const targetPositions = targets.map(target => target.position);
+    const newest = pickNewest([{...position, revision: 0}, ...targetPositions]);
     this.applyTargetSnapshot({targets, position, malformed}, newest, 'store');
     this.markRead(position);
   }
 
-  /** Records that every change of the store up to `position` has been applied. */
+  /**
+   * Records that every change of the store up to `position` has been applied.
+   */
   markRead(position: FactPosition): void {
     this.readPosition = pickNewest([this.readPosition, position]);
     this.table.markRead();
@@ -259,7 +264,7 @@
     const {targets, position, held, doubts} = shared;
     if (position.era !== this.position.era) return;
     const heldNames = new Set(held.map(([name]) => name));
-    // The peer may still list targets that have been removed meanwhile.
+    // The peer may still list targets that have been removed in the meantime.
     for (const target of targets)
       if (heldNames.has(target.name) || this.table.find(target.name))
         this.table.apply(target, 'peer');
@@ -356,7 +361,7 @@
 }
 
 /**
- * Creates a state without any facts.
+ * Creates a fleet state without any facts.
  *
  * @param readNow - Monotonic clock, in ms.
  * @example
--- a/packages/direct/src/fleet/route-table.ts
+++ b/packages/direct/src/fleet/route-table.ts
@@ -21,7 +21,10 @@
       list.sort((a, b) => b.prefix.length - a.prefix.length);
   }
 
-  /** Finds the route with the longest matching prefix; `host` may carry a port. */
+  /**
+   * Finds the route with the longest matching prefix; `host` may include a
+   * port.
+   */
   find(host: string, path: string): Route | undefined {
     const name = host.toLowerCase().replace(/:\d+$/, '');
     return this.byHost.get(name)?.find(route => path.startsWith(route.prefix));
--- a/packages/direct/src/fleet/store-watcher.test.ts
+++ b/packages/direct/src/fleet/store-watcher.test.ts
@@ -32,7 +32,7 @@
     }
   });
 
-  it('fetches changes that follow each other closely in one batch', async () => {
+  it('fetches changes made in quick succession in one batch', async () => {
     // Guards against one call to the store for each change while many targets
     // are replaced.
     const store = new FakeStore();
@@ -66,13 +66,14 @@
     while (state.targetCount < 30)
       await new Promise(resolve => setTimeout(resolve, 10));
     watcher.stop();
-    // One full read, one watch, and one more watch after each delay of 300 ms.
+    // One full read, one watch, and one more watch after each delay of 300 ms,
+    // the maximum delay, which 22 gates reach.
     expect(callsDuringChanges <= 2 + Math.ceil(changesTookMs / 300)).toEqual(
       true,
     );
   });
 
-  it('lets a gate stay ready and serve known targets while the store is down', async () => {
+  it('lets a gate stay ready and use the known targets while the store is down', async () => {
     const harness = await openGateHarness();
     try {
       await harness.addTarget('t1', 'orders', answerCompletely);
--- a/packages/direct/src/fleet/store-watcher.ts
+++ b/packages/direct/src/fleet/store-watcher.ts
@@ -32,17 +32,17 @@
 /** Timeout of one page of a full read, in ms. */
 const SNAPSHOT_TIMEOUT_MS = 1500;
 
-/** Bounds of the backoff between failed calls, in ms. */
+/** Bounds of the backoff after failed calls to the store, in ms. */
 const BACKOFF_MIN_MS = 100;
 const BACKOFF_MAX_MS = 1000;
 
 /**
- * Time without an answer after which entries of targets may have expired, in
- * ms; shorter than three heartbeats of a target.
+ * Time without an answer from the store after which entries of targets may have
+ * expired, in ms; shorter than three heartbeats of a target.
  */
 const OUTAGE_THRESHOLD_MS = 1500;
 
-/** Dependencies of the watcher. */
+/** Dependencies of a store watcher. */
 export interface StoreWatcherOptions {
   readonly store: FactStore;
   readonly state: FleetState;
@@ -56,7 +56,7 @@
  * Keeps the fleet state of one gate up to date with the store.
  *
  * @example
- * const watcher = createStoreWatcher({store, state, log, readNow});
+ * const watcher = createStoreWatcher(options);
  * void watcher.run();
  */
 export class StoreWatcher {
@@ -174,7 +174,7 @@
 }
 
 /**
- * Creates a watcher; `run` starts it.
+ * Creates a store watcher; its `run` method starts watching.
  *
  * @example
  * const watcher = createStoreWatcher(options);
--- a/packages/direct/src/fleet/target-table.ts
+++ b/packages/direct/src/fleet/target-table.ts
@@ -1,7 +1,7 @@
 /**
  * Targets by name. After an outage of the store, targets whose entry is missing
  * are held for a while. After a restore of the store from an older copy,
- * entries that contradict earlier knowledge are suspect and ignored for a while.
+ * entries that contradict the known facts are suspect and ignored for a while.
  */
 import {isNewer} from './fact-position.js';
 import type {Target} from '../types.js';
@@ -9,8 +9,8 @@
 
 /**
  * Time after recovery of the store during which a target is kept although its
- * entry is missing, and a suspect entry is ignored, in ms. Live targets register
- * again within two seconds; the rest covers the delay of the watch.
+ * entry is missing, and a suspect entry is ignored, in ms. Live targets
+ * register again within two seconds; the rest covers the delay of the watch.
  */
 export const HOLD_AFTER_OUTAGE_MS = 2300;
 
@@ -26,7 +26,10 @@
 
 /** A target that is kept although its entry is missing. */
 interface HeldTarget {
-  /** Time at which the target is dropped unless its entry has been written again. */
+  /**
+   * Time at which the target is dropped unless its entry has been written
+   * again.
+   */
   readonly until: number;
   /** Position at which the entry of the target was missing. */
   readonly position: FactPosition;
@@ -48,7 +51,7 @@
   entry: Target | undefined;
 }
 
-/** All targets at one position. */
+/** All targets at one position of the store. */
 export interface TargetSnapshot {
   readonly targets: readonly Target[];
   readonly position: FactPosition;
@@ -60,8 +63,9 @@
 export type ExpiringName = readonly [name: string, leftMs: number];
 
 /**
- * Suspect entry as gates send it to each other: the name, the time until it is
- * accepted, in ms, and the revision up to which entries of the name are suspect.
+ * Suspect entry as gates send it to each other: the name, the time until the
+ * entry is accepted, in ms, and the revision up to which entries of the name
+ * are suspect.
  */
 export type SharedSuspectEntry = readonly [
   name: string,
@@ -99,7 +103,9 @@
   private readonly targets = new Map<string, Target>();
   private readonly serviceById = new Map<string, string>();
   private readonly held = new Map<string, HeldTarget>();
+  /** Suspect entries by the name of the target. */
   private readonly doubts = new Map<string, SuspectEntry>();
+  /** Recently removed incarnations by their id. */
   private readonly left = new Map<string, RemovedTarget>();
   private storeRecoveredAt = -Infinity;
   /** Time of the last read of the store by this gate. */
@@ -190,7 +196,8 @@
     for (const target of targets) this.apply(target, source);
     const present = new Set(targets.map(({name}) => name));
     for (const known of this.list()) {
-      // An entry that is newer than the snapshot is not part of it.
+      // A target whose entry is newer than the snapshot is missing from the
+      // snapshot without having been removed.
       if (present.has(known.name) || isNewer(known.position, position))
         continue;
       this.removeOrHold(known, source, position, malformed.has(known.name));
@@ -223,7 +230,7 @@
     return {held: this.held.size, doubted};
   }
 
-  /** Holds targets for as long as a peer holds them. */
+  /** Holds the targets that a peer holds, for as long as the peer does. */
   addHeld(names: readonly ExpiringName[], position: FactPosition): void {
     const now = this.options.readNow();
     for (const [name, leftMs] of names) {
@@ -264,8 +271,8 @@
     const now = this.options.readNow();
     this.dropHeld(({until}) => until <= now, 'hold_expired');
     for (const [name, {until, entry}] of [...this.doubts]) {
-      // A suspect entry is accepted only after a read of the store past its
-      // expiry brought no other entry.
+      // A suspect entry is accepted only if a read of the store after its
+      // expiry has brought no other entry.
       if (until > this.readAt) continue;
       this.doubts.delete(name);
       if (entry !== undefined) this.set(entry, 'hold_expired');
@@ -294,7 +301,9 @@
     }
   }
 
-  /** Returns whether an entry of a restored copy contradicts the known facts. */
+  /**
+   * Returns whether an entry of a restored copy contradicts the known facts.
+   */
   private isContradicted(entry: Target): boolean {
     if (this.left.has(entry.id)) return true;
     const known = this.targets.get(entry.name);
@@ -369,7 +378,10 @@
   }
 }
 
-/** Returns whether an entry belongs to an earlier incarnation than the known one. */
+/**
+ * Returns whether an entry belongs to an earlier incarnation than the known
+ * target.
+ */
 function isEarlierIncarnation(target: Target, known: Target): boolean {
   if (target.bornAt === undefined || known.bornAt === undefined) return false;
   return target.bornAt < known.bornAt;
--- a/packages/direct/src/gate.test.ts
+++ b/packages/direct/src/gate.test.ts
@@ -13,7 +13,7 @@
 /** Time for which `freezeProcess` blocks the process, in ms. */
 const FREEZE_MS = 400;
 
-/** Blocks the event loop like a suspended process, without reads and timers. */
+/** Blocks the event loop: no reads and no timers, as in a suspended process. */
 function freezeProcess(): void {
   const lock = new Int32Array(new SharedArrayBuffer(4));
   Atomics.wait(lock, 0, 0, FREEZE_MS);
@@ -93,8 +93,8 @@
             socket.write(request);
             freezeProcess();
           };
-          // Runs after the poll phase of the event loop, so that the timers of
-          // the gate run before it reads the request.
+          // `setImmediate` runs after the poll phase of the event loop, so that
+          // the gate's timers run before the gate reads the request.
           setTimeout(
             () => setImmediate(writeAndFreeze),
             STOP_NOTICE_MS - FREEZE_MS / 2,
@@ -110,33 +110,39 @@
   });
 
   it('applies a configuration from another gate while its own store is down', async () => {
-    // Guards against a revoked key that still works at a gate without the
-    // store.
+    // Guards against a revoked key that still works at a gate that cannot
+    // reach the store.
     const port = 22_000;
     const hosts = [buildLoopbackHost(0), buildLoopbackHost(1)];
-    const one = await openGateHarness({host: hosts[0], port});
-    const two = await openGateHarness({
+    const firstGate = await openGateHarness({host: hosts[0], port});
+    const secondGate = await openGateHarness({
       host: hosts[1],
       port,
       seedHosts: [hosts[0]],
     });
     try {
-      await one.addTarget('t', 'orders', answerCompletely);
-      const entry = (await two.addTarget('t2', 'orders', answerCompletely))
-        .entry;
-      one.store.publishTarget(entry);
-      await two.waitUntil(async () => (await two.askReady()) === 200);
-      two.store.isDown = true;
-      one.store.publishConfig(
+      await firstGate.addTarget('t', 'orders', answerCompletely);
+      const entry = (
+        await secondGate.addTarget('t2', 'orders', answerCompletely)
+      ).entry;
+      firstGate.store.publishTarget(entry);
+      await secondGate.waitUntil(
+        async () => (await secondGate.askReady()) === 200,
+      );
+      secondGate.store.isDown = true;
+      firstGate.store.publishConfig(
         buildConfig(9, {accounts: [{name: 'acme', keys: ['k9']}]}),
       );
-      await two.waitUntil(
-        async () => (await two.call('/safe/x', {key: 'k9'})).status === 200,
+      await secondGate.waitUntil(
+        async () =>
+          (await secondGate.call('/safe/x', {key: 'k9'})).status === 200,
+      );
+      expect((await secondGate.call('/safe/x', {key: 'k1'})).status).toEqual(
+        401,
       );
-      expect((await two.call('/safe/x', {key: 'k1'})).status).toEqual(401);
     } finally {
-      one.close();
-      two.close();
+      firstGate.close();
+      secondGate.close();
     }
   });
 
@@ -145,41 +151,51 @@
     // not reach the store.
     const port = 22_200;
     const hosts = [buildLoopbackHost(4), buildLoopbackHost(5)];
-    const [one, two] = await Promise.all([
+    const [firstGate, secondGate] = await Promise.all([
       openGateHarness({host: hosts[0], port}),
       openGateHarness({host: hosts[1], port, seedHosts: [hosts[0]]}),
     ]);
     const isLogged = (event: string) =>
-      two.lines.some(line => line.includes(event) && line.includes('"t"'));
+      secondGate.lines.some(
+        line => line.includes(event) && line.includes('"t"'),
+      );
     try {
       // Both stores publish the same changes.
-      const leaving = await one.addTarget('t', 'orders', answerCompletely);
-      two.store.publishTarget(leaving.entry);
-      // Waits until no target could be held from an earlier outage.
+      const leaving = await firstGate.addTarget(
+        't',
+        'orders',
+        answerCompletely,
+      );
+      secondGate.store.publishTarget(leaving.entry);
+      // Waits for the hold time, so that only the outage below causes a hold.
       await new Promise(resolve =>
         setTimeout(resolve, HOLD_AFTER_OUTAGE_MS + 100),
       );
-      const staying = await two.addTarget('t2', 'orders', answerCompletely);
-      one.store.publishTarget(staying.entry);
-      await two.waitUntil(
-        async () => (await two.readGauge('targets_known')) === 2,
+      const staying = await secondGate.addTarget(
+        't2',
+        'orders',
+        answerCompletely,
       );
-      two.store.isDown = true;
-      two.store.dropHistory();
-      await two.waitUntil(() =>
-        two.lines.some(line => line.includes('"store_lost"')),
+      firstGate.store.publishTarget(staying.entry);
+      await secondGate.waitUntil(
+        async () => (await secondGate.readGauge('targets_known')) === 2,
       );
-      two.store.isDown = false;
-      two.store.dropTarget('t');
-      await two.waitUntil(() => isLogged('"target_held"'));
-      one.store.dropTarget('t');
-      await two.waitUntil(() => isLogged('"target_removed"'));
-      expect(two.lines.some(line => line.includes('"hold_expired"'))).toEqual(
-        false,
+      secondGate.store.isDown = true;
+      secondGate.store.dropHistory();
+      await secondGate.waitUntil(() =>
+        secondGate.lines.some(line => line.includes('"store_lost"')),
       );
+      secondGate.store.isDown = false;
+      secondGate.store.dropTarget('t');
+      await secondGate.waitUntil(() => isLogged('"target_held"'));
+      firstGate.store.dropTarget('t');
+      await secondGate.waitUntil(() => isLogged('"target_removed"'));
+      expect(
+        secondGate.lines.some(line => line.includes('"hold_expired"')),
+      ).toEqual(false);
     } finally {
-      one.close();
-      two.close();
+      firstGate.close();
+      secondGate.close();
     }
   });
 
@@ -187,22 +203,24 @@
     // Guards against a restarted gate that waits for a store which is down.
     const port = 22_100;
     const hosts = [buildLoopbackHost(2), buildLoopbackHost(3)];
-    const one = await openGateHarness({host: hosts[0], port});
-    await one.addTarget('t', 'orders', answerCompletely);
-    await one.waitUntil(async () => (await one.askReady()) === 200);
-    const two = await openGateHarness({
+    const firstGate = await openGateHarness({host: hosts[0], port});
+    await firstGate.addTarget('t', 'orders', answerCompletely);
+    await firstGate.waitUntil(async () => (await firstGate.askReady()) === 200);
+    const secondGate = await openGateHarness({
       host: hosts[1],
       port,
       seedHosts: [hosts[0]],
       config: 'none',
     });
-    two.store.isDown = true;
+    secondGate.store.isDown = true;
     try {
-      await two.waitUntil(async () => (await two.askReady()) === 200);
-      expect((await two.call('/safe/x')).status).toEqual(200);
+      await secondGate.waitUntil(
+        async () => (await secondGate.askReady()) === 200,
+      );
+      expect((await secondGate.call('/safe/x')).status).toEqual(200);
     } finally {
-      one.close();
-      two.close();
+      firstGate.close();
+      secondGate.close();
     }
   });
 
@@ -212,10 +230,10 @@
       await harness.addTarget('t', 'orders', answerCompletely);
       await harness.waitUntil(async () => (await harness.askReady()) === 200);
       await harness.call('/safe/x');
-      const figures = await fetch(
+      const response = await fetch(
         `http://${harness.host}:${harness.port + 3}/`,
       );
-      const text = await figures.text();
+      const text = await response.text();
       expect(text.includes('nutmeggauge_call_answered_total 1')).toEqual(true);
     } finally {
       harness.close();
--- a/packages/direct/src/gate.ts
+++ b/packages/direct/src/gate.ts
@@ -38,12 +38,12 @@
 import type {RetryBounds} from './retry/shared-retry-budget.js';
 
 /**
- * Time until the load balancer sends no more requests to a stopping gate, in ms;
- * long enough for two failed readiness checks.
+ * Time until the load balancer sends no more requests to a stopping gate, in
+ * ms; long enough for two failed readiness checks.
  */
 const DRAIN_NOTICE_MS = 2900;
 
-/** Part of the grace period that is reserved for the exit, in ms. */
+/** Part of the stop grace period reserved for the process exit, in ms. */
 const DRAIN_EXIT_RESERVE_MS = 500;
 
 /** Interval at which a drain checks for open requests, in ms. */
@@ -212,8 +212,8 @@
 
   /**
    * Shuts down gracefully. Readiness fails at once, and requests are still
-   * accepted until the load balancer has noticed; later ones are refused, so
-   * that callers retry them at other gates.
+   * accepted until the load balancer has noticed. Later requests are refused,
+   * so that callers retry them at other gates.
    */
   drain(): Promise<void> {
     this.draining ??= this.runDrain();
@@ -234,7 +234,8 @@
     await this.ingress.stopAccepting();
     await this.waitForOpenRequests(giveUpAt);
     await this.ingress.closeIdle();
-    // Waits for the requests that were read before idle connections were closed.
+    // Waits for the requests that were read before idle connections were
+    // closed.
     await this.waitForOpenRequests(giveUpAt);
     log.info('drain_finished', {left: this.ingress.inFlight});
     await this.peers.stop();
--- a/packages/direct/src/observe/decision-log.ts
+++ b/packages/direct/src/observe/decision-log.ts
@@ -9,8 +9,8 @@
 export type DecisionFields = Readonly<Record<string, unknown>>;
 
 /**
- * Maximum number of `info` lines per second; the levels `warn` and `error` share
- * a separate budget of the same size.
+ * Maximum number of `info` lines per second; the levels `warn` and `error`
+ * share a separate budget of the same size.
  */
 const LINES_PER_SECOND = 120;
 
--- a/packages/direct/src/observe/metrics-text.ts
+++ b/packages/direct/src/observe/metrics-text.ts
@@ -1,4 +1,6 @@
-/** Renders counters, gauges and latency quantiles as text, one value per line. */
+/**
+ * Renders counters, gauges and latency quantiles as text, one value per line.
+ */
 import type {LatencySummary} from '@nutmeggauge/core';
 
 const PREFIX = 'nutmeggauge_';
@@ -15,8 +17,8 @@
 }
 
 /**
- * Renders metrics in the Prometheus text format. Names carry their unit;
- * quantiles come from the histograms, in ms.
+ * Renders metrics in the Prometheus text format. Names of latencies end with
+ * `_ms`; their quantiles are computed by the histograms.
  *
  * @example
  * renderMetrics({counters: {'call.answered': 3}, gauges: {}, latencies: {}});
--- a/packages/direct/src/observe/status-server.ts
+++ b/packages/direct/src/observe/status-server.ts
@@ -1,4 +1,6 @@
-/** Serves readiness checks of the load balancer, and metrics, over HTTP. */
+/**
+ * Answers readiness checks of the load balancer and serves metrics, over HTTP.
+ */
 import {createServer} from 'node:http';
 import {openListener} from '@nutmeggauge/core';
 import {renderMetrics} from './metrics-text.js';
@@ -16,7 +18,10 @@
 export class StatusServer {
   private readonly servers: Server[] = [];
 
-  /** Opens a listener that answers 200 on `path` while the gate is ready, else 503. */
+  /**
+   * Opens a listener that answers 200 on `path` while the gate is ready, 503
+   * while it is not, and 404 on other paths.
+   */
   async openReady(
     address: ListenAddress,
     path: string,
--- a/packages/direct/src/peers/facts-exchange.test.ts
+++ b/packages/direct/src/peers/facts-exchange.test.ts
@@ -20,7 +20,9 @@
 /** Maximum number of peers that are sent a configuration at the same time. */
 const MAX_CONCURRENT_TRANSFERS = 2;
 
-/** Idle timeout longer than any test, in ms; clients stop reading on purpose. */
+/**
+ * Idle timeout longer than any test, in ms; clients stop reading on purpose.
+ */
 const TEST_IDLE_MS = 60_000;
 
 describe('facts server', () => {
--- a/packages/direct/src/peers/facts-exchange.ts
+++ b/packages/direct/src/peers/facts-exchange.ts
@@ -120,9 +120,9 @@
  * Fetches facts from a peer that are newer than the known ones.
  *
  * @param address - Address of the peer, `host:port`.
- * @throws FactsBusyError if the peer already serves its maximum number of gates;
- *   RpcClosedError or RpcFailedError if it does not answer; DecodeError if its
- *   answer is malformed.
+ * @throws FactsBusyError if the peer already serves its maximum number of
+ *   gates; RpcClosedError or RpcFailedError if it does not answer; DecodeError
+ *   if its answer is malformed.
  * @example
  * state.applyShared(await fetchSharedFacts('10.1.0.4:7340', known));
  */
--- a/packages/direct/src/peers/facts-fetcher.test.ts
+++ b/packages/direct/src/peers/facts-fetcher.test.ts
@@ -34,16 +34,16 @@
   };
 }
 
-/** Virtual clock that resumes waiters in order of their time. */
+/** Virtual clock that resumes waiters in the order of their wake-up times. */
 class VirtualClock {
   now = 0;
   private readonly queue: Array<{
     readonly at: number;
-    readonly go: () => void;
+    readonly resume: () => void;
   }> = [];
 
   readonly wait = (ms: number) =>
-    new Promise<void>(go => this.queue.push({at: this.now + ms, go}));
+    new Promise<void>(resume => this.queue.push({at: this.now + ms, resume}));
 
   async run(isOver: () => boolean): Promise<void> {
     for (;;) {
@@ -53,7 +53,7 @@
       this.queue.sort((a, b) => a.at - b.at);
       const next = this.queue.shift()!;
       this.now = next.at;
-      next.go();
+      next.resume();
     }
   }
 }
@@ -132,10 +132,10 @@
   it('picks a random peer among those with newer facts', async () => {
     // Guards against gates that all ask the same peer.
     const asked = new Set<string>();
-    for (const part of [0, 0.4, 0.9]) {
+    for (const randomValue of [0, 0.4, 0.9]) {
       const harness = createHarness(
         {a: sendFacts, b: sendFacts, c: sendFacts},
-        () => part,
+        () => randomValue,
       );
       harness.fetcher.schedule();
       await harness.clock.run(() => false);
@@ -176,14 +176,16 @@
     fetcher.schedule();
     fetcher.schedule();
     await clock.run(() => false);
-    const first = asked.length;
+    const requestsPerRun = asked.length;
     fetcher.schedule();
     await clock.run(() => false);
-    expect(asked.length).toEqual(2 * first);
+    expect(asked.length).toEqual(2 * requestsPerRun);
   });
 });
 
-/** Simulates in virtual time a fleet in which one gate has a new configuration. */
+/**
+ * Simulates in virtual time a fleet in which one gate has a new configuration.
+ */
 class PropagationFleet {
   readonly clock = new VirtualClock();
   /** Number of transfers that each gate has sent. */
@@ -198,7 +200,9 @@
     private readonly random: () => number,
   ) {}
 
-  /** Runs until every gate has the configuration; returns the time taken, in ms. */
+  /**
+   * Runs until every gate has the configuration; returns the time taken, in ms.
+   */
   async run(): Promise<number> {
     for (let i = 1; i < this.count; i++) void this.runGate(String(i));
     await this.clock.run(() => this.configKnownAt.size === this.count);
@@ -245,9 +249,9 @@
 }
 
 describe('propagation of a configuration that only one gate has', () => {
-  it('reaches every gate within 2,000 ms with one transfer for each', async () => {
-    // Guards against gates without the store that never receive a large
-    // configuration.
+  it('reaches every other gate within 2,000 ms with one transfer each', async () => {
+    // Guards against gates that cannot reach the store and never receive a
+    // large configuration.
     await fc.assert(
       fc.asyncProperty(
         fc.integer({min: 2, max: MAX_GATES}),
--- a/packages/direct/src/peers/facts-fetcher.ts
+++ b/packages/direct/src/peers/facts-fetcher.ts
@@ -17,20 +17,28 @@
  */
 const FETCH_DELAY_MS = 400;
 
-/** Jitter added to the delay, in ms, which keeps gates from asking all at once. */
+/**
+ * Jitter added to `FETCH_DELAY_MS`, in ms, which keeps gates from asking all at
+ * once.
+ */
 const FETCH_JITTER_MS = 400;
 
-/** Jitter that replaces the delay while the store does not answer, in ms. */
+/**
+ * Jitter that replaces `FETCH_DELAY_MS` and its jitter while the store does not
+ * answer, in ms.
+ */
 const STORE_SILENT_JITTER_MS = 150;
 
 /** Delay between two requests, in ms, and the jitter added to it, in ms. */
 const RETRY_DELAY_MS = 100;
 const RETRY_JITTER_MS = 150;
 
-/** Maximum number of requests of one run; a later heartbeat starts another. */
+/**
+ * Maximum number of requests of one run; a later heartbeat starts a new run.
+ */
 const MAX_REQUESTS = 10;
 
-/** Dependencies of the fetcher. */
+/** Dependencies of a facts fetcher. */
 export interface FactsFetcherOptions {
   readonly state: FleetState;
   /** Returns whether the last answer from the store is too old. */
@@ -63,8 +71,8 @@
   constructor(private readonly options: FactsFetcherOptions) {}
 
   /**
-   * Schedules a fetch after a delay, unless one is scheduled or running. Nothing
-   * is fetched if the store delivers the facts during the delay.
+   * Schedules a fetch after a delay, unless one is scheduled or running.
+   * Nothing is fetched if the store delivers the facts during the delay.
    */
   schedule(): void {
     if (this.isRunning) return;
@@ -134,7 +142,7 @@
 }
 
 /**
- * Creates a fetcher; `schedule` starts a fetch.
+ * Creates a facts fetcher; its `schedule` method starts a fetch.
  *
  * @example
  * const fetcher = createFactsFetcher(options);
--- a/packages/direct/src/peers/facts-guards.test.ts
+++ b/packages/direct/src/peers/facts-guards.test.ts
@@ -29,7 +29,7 @@
 
 async function waitThenThrow(limitMs: number): Promise<never> {
   await new Promise(resolve => setTimeout(resolve, limitMs));
-  throw new Error(`not within ${limitMs} ms`);
+  throw new Error(`no result within ${limitMs} ms`);
 }
 
 describe('jitter of the facts fetcher', () => {
@@ -61,7 +61,7 @@
     return requests;
   }
 
-  it('spreads the first requests of gates and also their retries', async () => {
+  it('spreads the first requests of gates and their retries over time', async () => {
     // Guards against gates that all ask a peer at the same time.
     const early = await recordRequests(() => 0);
     const late = await recordRequests(() => 0.999);
@@ -111,7 +111,7 @@
     return address;
   }
 
-  it('releases the slots of peers that stop reading after the idle timeout', async () => {
+  it('releases the slots of stalled peers after the idle timeout', async () => {
     // Guards against suspended peers that occupy their slots forever.
     const address = await openBusyGate();
     await new Promise(resolve => setTimeout(resolve, 3 * IDLE_TIMEOUT_MS));
@@ -181,7 +181,7 @@
 });
 
 describe('facts from a gate that has only a newer configuration', () => {
-  it('remove no target of the receiving gate, whether its entry is older or newer', () => {
+  it('remove neither older nor newer targets of the receiving gate', () => {
     // Guards against an answer without targets that removes all known targets.
     const newerState = createFleetState(() => 0);
     newerState.applyChange({kind: 'config', config: buildConfig(7)});
--- a/packages/direct/src/peers/facts-hand-over.test.ts
+++ b/packages/direct/src/peers/facts-hand-over.test.ts
@@ -13,13 +13,17 @@
 import type {AddressInfo, Server, Socket} from 'node:net';
 import type {FleetState, SharedFacts} from '../fleet/fleet-state.js';
 
-/** Number of routes that makes a configuration larger than any socket buffer. */
+/**
+ * Number of routes that makes a configuration larger than any socket buffer.
+ */
 const ROUTE_COUNT = 100_000;
 
 /** Maximum number of peers that are sent a configuration at the same time. */
 const MAX_CONCURRENT_TRANSFERS = 2;
 
-/** Idle timeout longer than any test, in ms; clients stop reading on purpose. */
+/**
+ * Idle timeout longer than any test, in ms; clients stop reading on purpose.
+ */
 const TEST_IDLE_MS = 60_000;
 
 function createLog(output = new PassThrough()) {
@@ -33,13 +37,13 @@
   listUpdateSources: () => readonly string[],
   fetch: Parameters<typeof createFactsFetcher>[0]['fetch'],
 ): Promise<void> {
-  let askedAt = performance.now();
+  let lastRequestAt = performance.now();
   const fetcher = createFactsFetcher({
     isStoreSilent: () => false,
     state,
     listUpdateSources,
     fetch: (host, known) => {
-      askedAt = performance.now();
+      lastRequestAt = performance.now();
       return fetch(host, known);
     },
     log: createLog(),
@@ -48,7 +52,7 @@
     wait: () => new Promise(resolve => setTimeout(resolve, 5)),
   });
   fetcher.schedule();
-  while (performance.now() - askedAt < 200)
+  while (performance.now() - lastRequestAt < 200)
     await new Promise(resolve => setTimeout(resolve, 20));
 }
 
--- a/packages/direct/src/peers/messages.ts
+++ b/packages/direct/src/peers/messages.ts
@@ -5,7 +5,10 @@
 import {z} from 'zod';
 import type {Placement} from '../placement/load-tracker.js';
 
-/** Wire form of a placement; it holds ages, because clocks of gates differ. */
+/**
+ * Wire form of a placement; holds an age instead of a time, because the clocks
+ * of gates differ.
+ */
 export const WirePlacementSchema = z.object({
   key: z.string(),
   decoder: z.string(),
@@ -24,7 +27,7 @@
 });
 export type WirePlacement = z.output<typeof WirePlacementSchema>;
 
-/** Heartbeat of a gate. */
+/** Heartbeat, by which a gate tells its peers its state and open placements. */
 export const HeartbeatSchema = z.object({
   from: z.string(),
   incarnation: z.string(),
@@ -42,8 +45,9 @@
   /** Hosts of the gates that the sender knows. */
   peers: z.array(z.string()),
   /**
-   * Placement numbers of the sender's open streams, and of those past prefill.
-   * Complete placements are sent on request only, which keeps heartbeats small.
+   * Placement numbers of the sender's open streams (`open`) and of those past
+   * prefill (`begun`). Complete placements are sent only on request, which
+   * keeps heartbeats small.
    */
   open: z.array(z.number()),
   begun: z.array(z.number()),
@@ -54,6 +58,7 @@
   ),
   /** Whether the sender asks for a heartbeat in return. */
   wantsReply: z.boolean(),
+  /** Whether the sender is shutting down. */
   leaves: z.boolean(),
 });
 export type Heartbeat = z.output<typeof HeartbeatSchema>;
--- a/packages/direct/src/peers/peer-group.test.ts
+++ b/packages/direct/src/peers/peer-group.test.ts
@@ -21,7 +21,9 @@
   readonly group: PeerGroup;
   readonly tracker: LoadTracker;
   readonly state: FleetState;
-  /** Time for which the store has answered the gate without an outage, in ms. */
+  /**
+   * Time for which the store has answered the gate without an outage, in ms.
+   */
   contactMs: number;
 }
 
@@ -78,84 +80,88 @@
 
 describe('peer group', () => {
   const hosts = [0, 1, 2].map(buildLoopbackHost);
-  let one: Member;
-  let two: Member;
+  let firstMember: Member;
+  let secondMember: Member;
 
   beforeEach(async () => {
-    one = buildMember(hosts[0], [hosts[2]]);
-    two = buildMember(hosts[1], [hosts[0], hosts[2]]);
-    await one.group.start();
-    await two.group.start();
-    await waitUntil(() => one.group.countGates() === 2);
-    await waitUntil(() => two.group.countGates() === 2);
+    firstMember = buildMember(hosts[0], [hosts[2]]);
+    secondMember = buildMember(hosts[1], [hosts[0], hosts[2]]);
+    await firstMember.group.start();
+    await secondMember.group.start();
+    await waitUntil(() => firstMember.group.countGates() === 2);
+    await waitUntil(() => secondMember.group.countGates() === 2);
   });
 
   afterEach(async () => {
-    await one.group.stop();
-    await two.group.stop();
+    await firstMember.group.stop();
+    await secondMember.group.stop();
   });
 
   const hasRemoteLoad = (member: Member) =>
     member.tracker.describe('e2', performance.now()).backlogMs > 0;
 
   it('discovers the other gates when one seed is down', () => {
-    expect(one.group.countGates()).toEqual(2);
+    expect(firstMember.group.countGates()).toEqual(2);
   });
 
   it('counts the placement of a peer as load until the peer announces its end', async () => {
     // Guards against two gates that place long prompts on the same idle engine.
-    const placement = buildPlacement(one, 1);
-    one.tracker.add(placement);
-    one.group.announcePlaced(placement);
-    await waitUntil(() => hasRemoteLoad(two));
-    one.tracker.remove(placement.key, performance.now());
-    one.group.announceEnded(placement.key);
-    await waitUntil(() => !hasRemoteLoad(two));
+    const placement = buildPlacement(firstMember, 1);
+    firstMember.tracker.add(placement);
+    firstMember.group.announcePlaced(placement);
+    await waitUntil(() => hasRemoteLoad(secondMember));
+    firstMember.tracker.remove(placement.key, performance.now());
+    firstMember.group.announceEnded(placement.key);
+    await waitUntil(() => !hasRemoteLoad(secondMember));
   });
 
   it('removes a placement that has ended even when the end was not announced', async () => {
-    const placement = buildPlacement(one, 1);
-    one.tracker.add(placement);
-    one.group.announcePlaced(placement);
-    await waitUntil(() => hasRemoteLoad(two));
-    one.tracker.remove(placement.key, performance.now());
+    const placement = buildPlacement(firstMember, 1);
+    firstMember.tracker.add(placement);
+    firstMember.group.announcePlaced(placement);
+    await waitUntil(() => hasRemoteLoad(secondMember));
+    firstMember.tracker.remove(placement.key, performance.now());
     await waitUntil(
-      () => two.tracker.describe('e1', performance.now()).active === 0,
+      () => secondMember.tracker.describe('e1', performance.now()).active === 0,
     );
   });
 
   it('sends open placements to a gate that joins', async () => {
     // Guards against a restarted gate that treats busy engines as idle.
-    const placement = buildPlacement(one, 1);
-    one.tracker.add(placement);
-    const three = buildMember(hosts[2], [hosts[0]]);
-    await three.group.start();
+    const placement = buildPlacement(firstMember, 1);
+    firstMember.tracker.add(placement);
+    const thirdMember = buildMember(hosts[2], [hosts[0]]);
+    await thirdMember.group.start();
     try {
       await waitUntil(
-        () => three.tracker.describe('e1', performance.now()).active === 1,
+        () =>
+          thirdMember.tracker.describe('e1', performance.now()).active === 1,
       );
     } finally {
-      await three.group.stop();
+      await thirdMember.group.stop();
     }
   });
 
   it('propagates a configuration to gates that cannot reach the store', async () => {
     // Guards against outdated routes at gates that cannot reach the store.
-    const three = buildMember(hosts[2], [hosts[0]]);
-    await three.group.start();
+    const thirdMember = buildMember(hosts[2], [hosts[0]]);
+    await thirdMember.group.start();
     try {
       const config = buildConfig(7);
-      one.state.applyChange({kind: 'config', config});
+      firstMember.state.applyChange({kind: 'config', config});
       const hasNewConfig = (member: Member) =>
         member.state.config?.version === 7;
-      await waitUntil(() => hasNewConfig(two) && hasNewConfig(three));
+      await waitUntil(
+        () => hasNewConfig(secondMember) && hasNewConfig(thirdMember),
+      );
     } finally {
-      await three.group.stop();
+      await thirdMember.group.stop();
     }
   });
 
   it('announces a configuration received from a peer before the next regular heartbeat', async () => {
-    // Guards against a single source while many gates lack the configuration.
+    // Guards against a configuration that many gates lack and only one gate
+    // serves.
     const listener = createSocket('udp4');
     listener.bind(PORT, hosts[2]);
     await once(listener, 'listening');
@@ -170,7 +176,7 @@
     try {
       const before = await waitForHeartbeat(0);
       const config = buildConfig(7);
-      two.state.applyShared({
+      secondMember.state.applyShared({
         position: NO_POSITION,
         config,
         targets: [],
--- a/packages/direct/src/peers/peer-group.ts
+++ b/packages/direct/src/peers/peer-group.ts
@@ -28,7 +28,7 @@
 
 /**
  * Delay before a heartbeat that announces a change of facts, in ms; changes
- * within it share one heartbeat.
+ * within this time share one heartbeat.
  */
 const CHANGE_HEARTBEAT_DELAY_MS = 100;
 
@@ -106,7 +106,7 @@
       random: Math.random,
     });
     state.onChange(({source, event}) => {
-      // A configuration from a peer is announced too, so that further peers can
+      // A configuration from a peer is announced too, so that other peers can
       // fetch it from this gate.
       if (source === 'store' || event === 'config_applied')
         this.scheduleChangeHeartbeat();
@@ -136,7 +136,8 @@
 
   /**
    * Returns the age of the latest confirmation that the facts of this gate are
-   * current, in ms. The store confirms them, or a peer that knows none newer.
+   * current, in ms. Each answer of the store is a confirmation, and so is each
+   * heartbeat of a peer that knows no newer facts.
    */
   readFactsAgeMs(): number {
     const {readStoreAgeMs, state} = this.options;
@@ -232,7 +233,7 @@
     const {state, tracker, slowdowns, readNow, incarnation} = this.options;
     const {readStoreAgeMs, readContactMs} = this.options;
     const now = readNow();
-    const own = tracker.listOwnedBy(this.owner);
+    const ownPlacements = tracker.listOwnedBy(this.owner);
     const params: Heartbeat = {
       from: this.options.host,
       incarnation,
@@ -241,12 +242,14 @@
       factsAgeMs: Math.round(readStoreAgeMs()),
       contactMs: Math.round(readContactMs()),
       peers: [...this.table.listHosts()],
-      open: own.map(({placement}) => parsePlacementNumber(placement.key)),
-      begun: own
+      open: ownPlacements.map(({placement}) =>
+        parsePlacementNumber(placement.key),
+      ),
+      begun: ownPlacements
         .filter(({hasFirstToken}) => hasFirstToken)
         .map(({placement}) => parsePlacementNumber(placement.key)),
       placements: isFull
-        ? own.map(({placement, hasFirstToken}) =>
+        ? ownPlacements.map(({placement, hasFirstToken}) =>
             toWirePlacement(placement, hasFirstToken, now),
           )
         : [],
@@ -288,7 +291,7 @@
     const now = this.options.readNow();
     const peer = this.table.findOrAddPeer(heartbeat.from);
     if (peer.incarnation !== heartbeat.incarnation)
-      this.applyRestart(peer, heartbeat);
+      this.applyIncarnation(peer, heartbeat);
     const isNew = this.table.recordHeartbeat(peer, heartbeat);
     if (heartbeat.leaves) return this.dropPeer(peer, 'left');
     this.applyPlacements(heartbeat, now);
@@ -311,7 +314,7 @@
     state.confirmRemovals(this.table.findPositionWithoutOutage(since));
   }
 
-  private applyRestart(peer: Peer, heartbeat: Heartbeat): void {
+  private applyIncarnation(peer: Peer, heartbeat: Heartbeat): void {
     const {log} = this.options;
     if (peer.incarnation !== undefined) {
       this.dropPlacements(peer.host, peer.incarnation);
@@ -340,7 +343,7 @@
       tracker.markFirstToken(toKey(number), now);
   }
 
-  /** Drops a peer and its placements; a later heartbeat restores them. */
+  /** Drops a peer and its placements; a later heartbeat adds the peer again. */
   private dropPeer(peer: Peer, reason: 'left' | 'silent'): void {
     const {log} = this.options;
     if (peer.incarnation === undefined) return;
--- a/packages/direct/src/peers/peer-table.ts
+++ b/packages/direct/src/peers/peer-table.ts
@@ -1,4 +1,4 @@
-/** Peers of a gate, by host. */
+/** Tracks the peers of a gate by host, and drops those that stay silent. */
 import {NO_POSITION, isNewer, pickNewest} from '../fleet/fact-position.js';
 import type {FactPosition} from '../fleet/fact-position.js';
 import type {Heartbeat} from './messages.js';
@@ -15,7 +15,9 @@
  */
 const BUDGET_SHARE_TIMEOUT_MS = 30_000;
 
-/** Time without a heartbeat after which a peer is no longer contacted, in ms. */
+/**
+ * Time without a heartbeat after which a peer is no longer contacted, in ms.
+ */
 const PEER_RETENTION_MS = 120_000;
 
 /** State of a peer according to its heartbeats. */
@@ -61,12 +63,12 @@
 
   /** Lists peers with a recent heartbeat. */
   listAlive(): readonly Peer[] {
-    return this.listHeardFromWithin(PEER_TIMEOUT_MS);
+    return this.listWithRecentHeartbeat(PEER_TIMEOUT_MS);
   }
 
   /** Counts the gates that share budgets, including this gate. */
   countBudgetMembers(): number {
-    return 1 + this.listHeardFromWithin(BUDGET_SHARE_TIMEOUT_MS).length;
+    return 1 + this.listWithRecentHeartbeat(BUDGET_SHARE_TIMEOUT_MS).length;
   }
 
   /** Returns whether a peer has sent a heartbeat. */
@@ -155,8 +157,8 @@
     );
   }
 
-  private listHeardFromWithin(ms: number): readonly Peer[] {
-    const since = this.readNow() - ms;
+  private listWithRecentHeartbeat(maxAgeMs: number): readonly Peer[] {
+    const since = this.readNow() - maxAgeMs;
     return [...this.peers.values()].filter(
       peer => peer.lastHeartbeatAt > since,
     );
--- a/packages/direct/src/peers/shared-facts.test.ts
+++ b/packages/direct/src/peers/shared-facts.test.ts
@@ -30,12 +30,12 @@
   );
 }
 
-function replaceAt(path: readonly string[], bad: unknown): unknown {
+function replaceAt(path: readonly string[], invalidValue: unknown): unknown {
   const facts = describeOnWire();
   let parent = facts as Record<string, unknown>;
   for (const key of path.slice(0, -1))
     parent = parent[key] as Record<string, unknown>;
-  parent[path[path.length - 1]] = bad;
+  parent[path[path.length - 1]] = invalidValue;
   return facts;
 }
 
@@ -54,10 +54,10 @@
       fc.property(
         fc.constantFrom(...listPaths(describeOnWire())),
         fc.constantFrom(null, [], {}),
-        (path, bad) => {
-          expect(() => decodeSharedFacts(replaceAt(path, bad))).toThrow(
-            DecodeError,
-          );
+        (path, invalidValue) => {
+          expect(() =>
+            decodeSharedFacts(replaceAt(path, invalidValue)),
+          ).toThrow(DecodeError);
         },
       ),
       {numRuns: 300, seed: 21},
--- a/packages/direct/src/peers/shared-facts.ts
+++ b/packages/direct/src/peers/shared-facts.ts
@@ -1,6 +1,6 @@
 /**
- * Validates facts from a peer. The peer may run another version of the gate, and
- * JSON turns non-finite numbers into null.
+ * Validates facts from a peer. The peer may run another version of the gate,
+ * and JSON turns non-finite numbers into null.
  */
 import {z} from 'zod';
 import {DecodeError} from '../errors.js';
@@ -9,7 +9,7 @@
 
 const PositionSchema = z.object({era: z.number(), revision: z.number()});
 
-/** Versions that a peer knows; gates of an earlier version omit them. */
+/** Versions of a peer's facts; older releases of the gate omit them. */
 const KnownFactsSchema = z.object({
   configVersion: z.number().catch(0),
   position: PositionSchema.catch(NO_POSITION),
--- a/packages/direct/src/peers/startup-sync.ts
+++ b/packages/direct/src/peers/startup-sync.ts
@@ -14,8 +14,8 @@
 import type {DecisionLog} from '../observe/decision-log.js';
 
 /**
- * Longest wait for a peer, in ms; above one heartbeat interval, because peers
- * reach a gate whose seeds are down by their next heartbeat.
+ * Longest wait for a peer, in ms. It is above one heartbeat interval, because a
+ * gate whose seeds are down learns of its peers only from their next heartbeat.
  */
 const SYNC_TIMEOUT_MS = 1500;
 
@@ -81,7 +81,8 @@
     const giveUpAt = readNow() + SYNC_TIMEOUT_MS;
     const failed = new Set<string>();
     while (readNow() < giveUpAt) {
-      // Peers with newer facts come first; they may have answered only in part.
+      // Peers with newer facts are asked first, also after an earlier answer,
+      // which may have been partial.
       const host = [...listUpdateSources(), ...listPeers()].find(
         peer => !failed.has(peer),
       );
--- a/packages/direct/src/ports.ts
+++ b/packages/direct/src/ports.ts
@@ -21,7 +21,10 @@
   ): RequestMetadata;
 
   /** Builds the request head for a target from the caller's request head. */
-  abstract buildForTarget(caller: RawHeaders, facts: ForwardMetadata): string[];
+  abstract buildForTarget(
+    callerHeaders: RawHeaders,
+    metadata: ForwardMetadata,
+  ): string[];
 
   /** Parses the head of a target's answer. */
   abstract parseAnswer(
@@ -45,7 +48,7 @@
       readonly isMalformed: boolean;
     };
 
-/** All facts from a full read of the store. */
+/** All facts in the store, from one full read. */
 export interface FactSnapshot {
   /** Position of the store at the start of the read. */
   readonly position: FactPosition;
@@ -67,8 +70,8 @@
    * Reads all facts.
    *
    * @param timeoutMs - Longest wait for the first byte of an answer, in ms.
-   * @throws StoreUnavailableError if the store does not answer completely within
-   *   the timeout.
+   * @throws StoreUnavailableError if the store does not answer completely
+   *   within the timeout.
    */
   abstract readSnapshot(timeoutMs: number): Promise<FactSnapshot>;
 
@@ -88,13 +91,16 @@
 
 /** Report of an engine about its speed. */
 export interface EngineReport {
-  /** Factor on the configured times: 1 is as configured, 3 is three times as slow. */
+  /**
+   * Factor by which the engine is slower than its cost model: 1 is as
+   * configured, 3 is three times as slow.
+   */
   readonly slowdown: number;
 }
 
 /** Polls engines for their reports. */
 export abstract class EngineReports {
-  /** Reads a report of an engine; returns `undefined` if it comes too late. */
+  /** Polls an engine; returns `undefined` if the report arrives too late. */
   abstract read(target: Target): Promise<EngineReport | undefined>;
 }
 
@@ -104,7 +110,8 @@
 /** Reserves KV cache on engines. */
 export abstract class KvReservations {
   /**
-   * Reserves `tokens` under `ticket` for `holdMs`, or renews the reservation.
+   * Reserves KV cache for `tokens` tokens on `target` under `ticket` for
+   * `holdMs` ms, or renews the reservation of the same ticket.
    */
   abstract reserve(
     target: Target,
@@ -113,6 +120,9 @@
     holdMs: number,
   ): Promise<ReservationOutcome>;
 
-  /** Releases a reservation; if the release is lost, the lease expires instead. */
+  /**
+   * Releases a reservation. If the request to release it is lost, the
+   * reservation expires instead.
+   */
   abstract release(target: Target, ticket: string): Promise<void>;
 }
--- a/packages/direct/src/test/build-target.ts
+++ b/packages/direct/src/test/build-target.ts
@@ -12,7 +12,9 @@
   return {era, revision};
 }
 
-/** Builds a target of the service `chat` whose name equals its incarnation id. */
+/**
+ * Builds a target of the service `chat` whose name equals its incarnation id.
+ */
 export function buildTarget(
   id: string,
   revision: number,
--- a/packages/direct/src/test/fake-reports.ts
+++ b/packages/direct/src/test/fake-reports.ts
@@ -5,7 +5,7 @@
 import type {EngineReport} from '../ports.js';
 import type {Target} from '../types.js';
 
-/** Reports the slowdown that a test has set for an engine, or no answer. */
+/** Answers polls with the slowdowns that a test has set. */
 export class FakeReports extends EngineReports {
   /** Slowdowns by target id; an engine without one does not answer. */
   readonly slowdowns = new Map<string, number>();
--- a/packages/direct/src/test/fake-store.ts
+++ b/packages/direct/src/test/fake-store.ts
@@ -1,4 +1,4 @@
-/** In-memory store of facts whose outages a test controls. */
+/** In-memory store of facts whose outages are controlled by a test. */
 import {HistoryLostError, StoreUnavailableError} from '../errors.js';
 import {FactStore} from '../ports.js';
 import {buildPosition} from './build-target.js';
@@ -12,7 +12,7 @@
 }
 
 /**
- * Store whose facts and outages a test sets.
+ * Store whose facts and outages are set by a test.
  *
  * @example
  * const store = new FakeStore();
@@ -53,7 +53,7 @@
     });
   }
 
-  /** Drops the history, so that watches must read a full snapshot again. */
+  /** Drops the history, so that watchers must read a full snapshot again. */
   dropHistory(): void {
     this.history = [];
     this.notify();
@@ -76,7 +76,7 @@
   ): Promise<FactChanges> {
     this.calls++;
     if (this.isDown) throw new StoreUnavailableError('down');
-    if (this.revision === after) await this.waitForNotice(waitMs);
+    if (this.revision === after) await this.waitForNotification(waitMs);
     if (this.isDown) throw new StoreUnavailableError('down');
     const oldest = this.history[0]?.revision ?? this.revision + 1;
     if (this.revision > after && oldest > after + 1)
@@ -89,7 +89,7 @@
     };
   }
 
-  private waitForNotice(waitMs: number): Promise<void> {
+  private waitForNotification(waitMs: number): Promise<void> {
     return new Promise(resolve => {
       const finish = () => {
         clearTimeout(timer);
--- a/packages/direct/src/test/fake-target.ts
+++ b/packages/direct/src/test/fake-target.ts
@@ -1,4 +1,4 @@
-/** HTTP target whose answers a test scripts. */
+/** HTTP target whose answers are scripted by a test. */
 import {createServer} from 'node:http';
 import {NO_POSITION} from '../fleet/fact-position.js';
 import {openListener, readPort} from '@nutmeggauge/core';
@@ -43,7 +43,7 @@
 }
 
 /**
- * Target whose answers a script gives.
+ * HTTP target that lets a script answer each request.
  *
  * @example
  * const target = await openFakeTarget('t1', 'orders', answerCompletely);
@@ -89,7 +89,7 @@
     await openListener(this.server, {host: '127.0.0.1', port: 0});
   }
 
-  /** Closes the target as a crash does, by resetting every connection. */
+  /** Closes the target and every connection at once, as in a crash. */
   close(): void {
     this.server.closeAllConnections();
     this.server.close();
--- a/packages/direct/src/test/gate-harness.ts
+++ b/packages/direct/src/test/gate-harness.ts
@@ -109,7 +109,7 @@
   return buildConfig(version, {routes});
 }
 
-/** Records reservations, and answers each with the outcome that a test sets. */
+/** Records reservations and answers each with the outcome that a test sets. */
 export class FakeReservations extends KvReservations {
   readonly held = new Map<string, number>();
   /** Times of reservations and renewals on the monotonic clock, in ms. */
@@ -135,7 +135,7 @@
   }
 }
 
-/** Answer that a caller received. */
+/** Answer that a caller received from the gate. */
 export interface ReceivedResponse {
   readonly status: number;
   readonly body: string;
@@ -233,7 +233,7 @@
     return callGate({host: this.host, port: this.port}, path, options);
   }
 
-  /** Returns the status of a readiness check, as the load balancer sends it. */
+  /** Sends a readiness check as the load balancer does; returns the status. */
   async askReady(): Promise<number> {
     const answer = await callGate(
       {host: this.host, port: this.port + 1},
@@ -251,7 +251,7 @@
     return Number(line?.split(' ')[1]);
   }
 
-  /** Waits until `check` holds; fails the test after two seconds. */
+  /** Waits until `check` returns true; fails the test after two seconds. */
   async waitUntil(check: () => boolean | Promise<boolean>): Promise<void> {
     const giveUpAt = performance.now() + 2000;
     while (!(await check())) {
--- a/packages/direct/src/test/test-dialect.ts
+++ b/packages/direct/src/test/test-dialect.ts
@@ -34,18 +34,18 @@
   }
 
   override buildForTarget(
-    caller: RawHeaders,
-    facts: ForwardMetadata,
+    callerHeaders: RawHeaders,
+    metadata: ForwardMetadata,
   ): string[] {
-    const headers = stripHopByHop(caller).filter(
-      (_, i, all) => all[i - (i % 2)].toLowerCase() !== 'x-test-key',
+    const headers = stripHopByHop(callerHeaders).filter(
+      (_, i, fields) => fields[i - (i % 2)].toLowerCase() !== 'x-test-key',
     );
-    headers.push('x-test-target', facts.target.id);
-    headers.push('x-test-left', String(facts.deadlineLeftMs));
-    if (facts.account !== undefined)
-      headers.push('x-test-account', facts.account);
-    if (facts.lastEventId !== undefined)
-      headers.push('x-test-after', facts.lastEventId);
+    headers.push('x-test-target', metadata.target.id);
+    headers.push('x-test-left', String(metadata.deadlineLeftMs));
+    if (metadata.account !== undefined)
+      headers.push('x-test-account', metadata.account);
+    if (metadata.lastEventId !== undefined)
+      headers.push('x-test-after', metadata.lastEventId);
     headers.push('Connection', 'close');
     return headers;
   }
--- a/packages/direct/src/types.ts
+++ b/packages/direct/src/types.ts
@@ -1,14 +1,17 @@
-/** Data types of the direct gate. Adapters decode their wire formats into them. */
+/**
+ * Data types of the direct gate, into which adapters decode their wire formats.
+ */
 
 import type {FactPosition} from './fleet/fact-position.js';
 
 /**
  * Kind of a route, which determines what is retried after a failed attempt:
- * calls that may run twice (`safe`), calls that must not (`unsafe`), or streams.
+ * calls that may run twice (`safe`), calls that must not run twice (`unsafe`),
+ * or streams.
  */
 export type RouteKind = 'safe' | 'unsafe' | 'stream';
 
-/** A service that a route sends requests to, with its share of them. */
+/** A service that a route sends requests to, with its share of the requests. */
 export interface RouteSplit {
   readonly service: string;
   /** Relative share of the requests; 0 sends none. */
@@ -72,7 +75,7 @@
 /** Limits on requests and connections of callers. */
 export interface IngressLimits {
   readonly maxBodyBytes: number;
-  /** Longest time until a request head is complete, in ms. */
+  /** Longest time a caller may take to send a complete request head, in ms. */
   readonly headerTimeoutMs: number;
   /** Idle timeout of a caller's connection, in ms. */
   readonly idleTimeoutMs: number;
@@ -100,7 +103,10 @@
    * process. Load, health, KV cache and placements are tracked by this id.
    */
   readonly id: string;
-  /** Name under which the target registers and answers; may survive restarts. */
+  /**
+   * Name under which the target registers and answers; a restarted process may
+   * keep it.
+   */
   readonly name: string;
   /** Start time of the process, in ms since the epoch; absent if unknown. */
   readonly bornAt: number | undefined;
@@ -138,7 +144,9 @@
   readonly target: Target;
   /** Name of the client account; absent on public routes without a key. */
   readonly account: string | undefined;
-  /** Priority from 0 (highest) to 9 (lowest); absent for the target's default. */
+  /**
+   * Priority from 0 (highest) to 9 (lowest); absent for the target's default.
+   */
   readonly priority: number | undefined;
   readonly helpers: readonly PrefillHelper[];
   /** Id of the last event that the caller has received of a resumed stream. */
