--- a/packages/direct/src/peers/facts-fetcher.test.ts
+++ b/packages/direct/src/peers/facts-fetcher.test.ts
@@ -39,11 +39,11 @@
   now = 0;
   private readonly queue: Array<{
     readonly at: number;
-    readonly resume: () => void;
+    readonly go: () => void;
   }> = [];
 
   readonly wait = (ms: number) =>
-    new Promise<void>(resume => this.queue.push({at: this.now + ms, resume}));
+    new Promise<void>(go => this.queue.push({at: this.now + ms, go}));
 
   async run(isOver: () => boolean): Promise<void> {
     for (;;) {
@@ -53,7 +53,7 @@
       this.queue.sort((a, b) => a.at - b.at);
       const next = this.queue.shift()!;
       this.now = next.at;
-      next.resume();
+      next.go();
     }
   }
 }
--- a/packages/direct/src/peers/peer-table.ts
+++ b/packages/direct/src/peers/peer-table.ts
@@ -157,8 +157,8 @@
     );
   }
 
-  private listWithRecentHeartbeat(maxAgeMs: number): readonly Peer[] {
-    const since = this.readNow() - maxAgeMs;
+  private listWithRecentHeartbeat(ms: number): readonly Peer[] {
+    const since = this.readNow() - ms;
     return [...this.peers.values()].filter(
       peer => peer.lastHeartbeatAt > since,
     );
--- a/packages/direct/src/test/test-dialect.ts
+++ b/packages/direct/src/test/test-dialect.ts
@@ -38,7 +38,7 @@
     metadata: ForwardMetadata,
   ): string[] {
     const headers = stripHopByHop(callerHeaders).filter(
-      (_, i, fields) => fields[i - (i % 2)].toLowerCase() !== 'x-test-key',
+      (_, i, all) => all[i - (i % 2)].toLowerCase() !== 'x-test-key',
     );
     headers.push('x-test-target', metadata.target.id);
     headers.push('x-test-left', String(metadata.deadlineLeftMs));
