--- a/packages/direct/src/peers/facts-fetcher.test.ts
+++ b/packages/direct/src/peers/facts-fetcher.test.ts
@@ -39,11 +39,13 @@
   now = 0;
   private readonly queue: Array<{
     readonly at: number;
-    readonly go: () => void;
+    readonly resumeWaiter: () => void;
   }> = [];
 
   readonly wait = (ms: number) =>
-    new Promise<void>(go => this.queue.push({at: this.now + ms, go}));
+    new Promise<void>(resumeWaiter =>
+      this.queue.push({at: this.now + ms, resumeWaiter}),
+    );
 
   async run(isOver: () => boolean): Promise<void> {
     for (;;) {
@@ -53,7 +55,7 @@
       this.queue.sort((a, b) => a.at - b.at);
       const next = this.queue.shift()!;
       this.now = next.at;
-      next.go();
+      next.resumeWaiter();
     }
   }
 }
--- a/packages/direct/src/test/test-dialect.ts
+++ b/packages/direct/src/test/test-dialect.ts
@@ -38,7 +38,8 @@
     metadata: ForwardMetadata,
   ): string[] {
     const headers = stripHopByHop(callerHeaders).filter(
-      (_, i, all) => all[i - (i % 2)].toLowerCase() !== 'x-test-key',
+      (_, i, headerFields) =>
+        headerFields[i - (i % 2)].toLowerCase() !== 'x-test-key',
     );
     headers.push('x-test-target', metadata.target.id);
     headers.push('x-test-left', String(metadata.deadlineLeftMs));
