--- a/packages/nutmeggauge/src/cli/invalid-arguments.test.ts
+++ b/packages/nutmeggauge/src/cli/invalid-arguments.test.ts
@@ -141,10 +141,13 @@
       checkErrorLine(cliArgs, 2, expectedText));
 
   it('reports an invalid experiment file in one line and exits with status 2', () => {
-    const bad = writeTestFile('bad.yaml', 'name: x\nload: {ratePerSecond: no}');
-    checkErrorLine(['bench', bad], 2, 'load.ratePerSecond');
-    const noYaml = writeTestFile('no.yaml', 'name: [x\nload: }');
-    checkErrorLine(['bench', noYaml], 2, 'not valid YAML');
+    const invalidExperiment = writeTestFile(
+      'bad.yaml',
+      'name: x\nload: {ratePerSecond: no}',
+    );
+    checkErrorLine(['bench', invalidExperiment], 2, 'load.ratePerSecond');
+    const invalidYaml = writeTestFile('no.yaml', 'name: [x\nload: }');
+    checkErrorLine(['bench', invalidYaml], 2, 'not valid YAML');
     checkErrorLine(['bench', 'experiments'], 2, 'experiments');
   });
 
--- a/packages/nutmeggauge/src/cluster/launch-plan.ts
+++ b/packages/nutmeggauge/src/cluster/launch-plan.ts
@@ -34,7 +34,7 @@
   readonly configUrl: string;
 }
 
-/** Host for clusters whose spec names none. */
+/** Loopback address of a cluster whose spec has no `host`. */
 const DEFAULT_HOST = '127.0.0.1';
 
 const DEFAULT_ZONES = ['az-1', 'az-2', 'az-3'];
@@ -58,24 +58,27 @@
  * agent) and three for each gate (callers, relay and administration).
  *
  * @example
- * planLaunches(spec, await findFreePorts(2 + targets * 2 + spec.gates * 3)).launches;
+ * planLaunches(spec, await findFreePorts(2 + targetCount * 2 + spec.gates * 3)).launches;
  */
 export function planLaunches(
   spec: ClusterSpec,
   ports: readonly number[],
 ): ClusterLayout {
-  const [configPort, hostsPort, ...rest] = ports;
+  const [configPort, hostsPort, ...otherPorts] = ports;
   const host = readHost(spec);
   const configUrl = `http://${host}:${configPort}`;
   const hostListUrl = `http://${host}:${hostsPort}`;
-  const count = spec.engines + spec.plainServices;
-  const targets = Array.from({length: count}, (_, i) =>
-    planTarget(spec, i, rest.slice(i * 2, i * 2 + 2)),
+  const targetCount = spec.engines + spec.plainServices;
+  const targets = Array.from({length: targetCount}, (_, i) =>
+    planTarget(spec, i, otherPorts.slice(i * 2, i * 2 + 2)),
   );
-  const gatePorts = rest.slice(count * 2, count * 2 + spec.gates);
-  const internal = rest.slice(count * 2 + spec.gates);
-  const relayPorts = internal.slice(0, spec.gates);
-  const adminPorts = internal.slice(spec.gates);
+  const gatePorts = otherPorts.slice(
+    targetCount * 2,
+    targetCount * 2 + spec.gates,
+  );
+  const internalPorts = otherPorts.slice(targetCount * 2 + spec.gates);
+  const relayPorts = internalPorts.slice(0, spec.gates);
+  const adminPorts = internalPorts.slice(spec.gates);
   return {
     configUrl,
     targets,
@@ -132,10 +135,10 @@
   kind: string,
   id: string,
   port: number,
-  extra: readonly string[] = [],
+  extraArgs: readonly string[] = [],
 ): Launch {
   const address = ['--host', readHost(spec), '--port', String(port)];
-  const args = ['standin', kind, '--id', id, ...address, ...extra];
+  const args = ['standin', kind, '--id', id, ...address, ...extraArgs];
   return {name: id, script: CLI_BIN, args, stopRank: 2};
 }
 
--- a/packages/nutmeggauge/src/cluster/local-cluster.ts
+++ b/packages/nutmeggauge/src/cluster/local-cluster.ts
@@ -1,8 +1,8 @@
 /**
  * A complete deployment on loopback: stand-ins for the configuration service,
  * the host list, engines and plain services, an agent for each target, and
- * gates. Each runs as a process with its own log file; agents and gates read
- * YAML settings files.
+ * gates. Every part runs as a process with its own log file; agents and gates
+ * read YAML settings files.
  */
 import {mkdirSync} from 'node:fs';
 import {join} from 'node:path';
@@ -73,7 +73,9 @@
   /** Starts every process: stand-ins first, then agents, then gates. */
   async start(): Promise<void> {
     for (const rank of [2, 1, 0]) {
-      const group = this.layout.launches.filter(l => l.stopRank === rank);
+      const group = this.layout.launches.filter(
+        launch => launch.stopRank === rank,
+      );
       for (let i = 0; i < group.length; i += START_BATCH_SIZE) {
         const batch = group.slice(i, i + START_BATCH_SIZE);
         await Promise.all(batch.map(launch => this.launch(launch)));
@@ -96,7 +98,7 @@
    * Waits until every gate has applied the newest published record and can use
    * all of its targets.
    *
-   * @throws ClusterError when this takes longer than `timeoutMs`.
+   * @throws ClusterError when the cluster is not ready within `timeoutMs`.
    */
   async waitUntilReady(timeoutMs = 30_000): Promise<void> {
     const timeoutAt = Date.now() + timeoutMs;
@@ -118,7 +120,10 @@
     this.children.get(name)?.signal(signal);
   }
 
-  /** Kills one process as a power loss would, and waits for its exit. */
+  /**
+   * Kills one process with SIGKILL, which simulates a power loss, and waits for
+   * its exit.
+   */
   async kill(name: string): Promise<void> {
     const child = this.children.get(name);
     child?.signal('SIGKILL');
@@ -126,10 +131,10 @@
   }
 
   /**
-   * Starts a process again once it has exited; does nothing if it runs and was
-   * not told to stop. An agent starts without `bootstrap` for its ledger, which
-   * applies to the first start only. Concurrent calls for one process share one
-   * restart.
+   * Starts a process again once it has exited; does nothing if the process runs
+   * and was sent no SIGTERM or SIGKILL. An agent starts without `bootstrap` for
+   * its ledger, which applies to the first start only. Concurrent calls for one
+   * process share one restart.
    */
   restart(name: string): Promise<void> {
     const running = this.restarts.get(name);
@@ -159,7 +164,7 @@
   }
 
   private async runRestart(name: string): Promise<void> {
-    const launch = this.layout.launches.find(l => l.name === name);
+    const launch = this.layout.launches.find(planned => planned.name === name);
     const previous = this.children.get(name);
     if (launch === undefined || previous?.isActive) return;
     await previous?.waitForExit();
@@ -188,7 +193,7 @@
  * Starts a local cluster and returns once every process listens; stops the
  * cluster again if a process fails to start.
  *
- * @throws ClusterError when a process does not start or ports are exhausted.
+ * @throws ClusterError when a process does not start or too few ports are free.
  * @example
  * const cluster = await startLocalCluster({runDir: 'runs/demo', engines: 3, plainServices: 1, gates: 1});
  */
@@ -196,9 +201,9 @@
   spec: ClusterSpec,
 ): Promise<LocalCluster> {
   mkdirSync(spec.runDir, {recursive: true});
-  const targets = spec.engines + spec.plainServices;
+  const targetCount = spec.engines + spec.plainServices;
   const ports = await findFreePorts(
-    2 + targets * 2 + spec.gates * 3,
+    2 + targetCount * 2 + spec.gates * 3,
     spec.host,
   );
   const cluster = new LocalCluster(spec, planLaunches(spec, ports));
--- a/packages/nutmeggauge/src/cluster/ports.ts
+++ b/packages/nutmeggauge/src/cluster/ports.ts
@@ -7,9 +7,9 @@
 import type {Server} from 'node:net';
 
 /**
- * Range of the ports to choose from: above those of common services and below
- * the ephemeral ports, which the system may assign to outgoing connections
- * before the process starts.
+ * Range of the ports to choose from: above the ports of common services and
+ * below the ephemeral ports, which the system may assign to outgoing
+ * connections before the process starts.
  */
 const FIRST_PORT = 10_240;
 const LAST_PORT = 32_000;
@@ -30,7 +30,7 @@
 ): Promise<number[]> {
   const servers: Server[] = [];
   const ports: number[] = [];
-  // Servers hold their ports until all are found, so that none is found twice.
+  // Servers occupy the ports found so far, so that no port is found twice.
   for (let attemptIndex = 0; ports.length < count; attemptIndex++) {
     if (attemptIndex > count + MAX_EXTRA_ATTEMPTS)
       throw new ClusterError({info: {count}}, 'not enough free TCP ports');
--- a/packages/nutmeggauge/src/faults/random-faults.ts
+++ b/packages/nutmeggauge/src/faults/random-faults.ts
@@ -14,14 +14,20 @@
   readonly gates: readonly string[];
   /** Names of the agents and of their targets. */
   readonly backends: readonly string[];
-  /** Length of the load, in ms: every fault begins during the load and ends with it. */
+  /**
+   * Length of the load, in ms: every fault begins during the load and ends at
+   * most `MIN_FAULT_MS` after the load.
+   */
   readonly lengthMs: number;
 }
 
 /** Mean time between the starts of two faults, in ms. */
 const MEAN_FAULT_INTERVAL_MS = 700;
 
-/** Longest suspension of a gate, in ms: above the idle timeout of its connections. */
+/**
+ * Longest suspension of a gate, in ms: above the idle timeout of its
+ * connections.
+ */
 const MAX_GATE_PAUSE_MS = 7500;
 
 /** Longest fault other than the suspension of a gate, in ms. */
@@ -41,7 +47,7 @@
 ): readonly Fault[] {
   const {gates, backends, lengthMs} = options;
   const random = xoroshiro128plus(options.seed);
-  const draw = (most: number) => uniformInt(random, 0, most - 1);
+  const draw = (limit: number) => uniformInt(random, 0, limit - 1);
   const pick = <T>(list: readonly T[]) => list[draw(list.length)];
   const faultFactories: ReadonlyArray<() => Pick<Fault, 'kind' | 'process'>> = [
     // Listed three times, so that suspended gates are the most frequent fault.
@@ -69,13 +75,13 @@
     faults.push({...fault, atMs, forMs: Math.min(forMs, lengthMs - atMs + 1)});
     // Half of the stopped gates are suspended when SIGTERM is sent.
     if (fault.kind !== 'stop' || draw(2) === 0) continue;
-    const pausedMs = Math.min(atMs, draw(MAX_GATE_PAUSE_MS));
+    const pausedBeforeMs = Math.min(atMs, draw(MAX_GATE_PAUSE_MS));
     const resumeMs = Math.min(atMs + draw(MAX_FAULT_MS), lengthMs);
     faults.push({
       kind: 'pause',
       process: fault.process,
-      atMs: atMs - pausedMs,
-      forMs: pausedMs + MIN_FAULT_MS + resumeMs - atMs,
+      atMs: atMs - pausedBeforeMs,
+      forMs: pausedBeforeMs + MIN_FAULT_MS + resumeMs - atMs,
     });
   }
   return faults;
--- a/packages/nutmeggauge/src/faults/schedule.ts
+++ b/packages/nutmeggauge/src/faults/schedule.ts
@@ -30,13 +30,15 @@
     'config-down',
     'config-stale',
   ]),
-  /** Name of the process to kill, stop or suspend, such as `agent-engine-01`. */
+  /**
+   * Name of the process to kill, stop or suspend, such as `agent-engine-01`.
+   */
   process: z.string().optional(),
 });
 
 export type Fault = z.output<typeof FaultSchema>;
 
-/** A fault that was injected, and when; times in ms since the epoch. */
+/** A fault that was injected, with its start and end in ms since the epoch. */
 export interface InjectedClusterFault {
   readonly fault: Fault;
   readonly beganAt: number;
