--- a/packages/nutmeggauge/src/e2e/admin.test.ts
+++ b/packages/nutmeggauge/src/e2e/admin.test.ts
@@ -23,7 +23,7 @@
 
   const adminUrl = () => `http://127.0.0.1:${stack.gate.adminPort}`;
 
-  it('lists the requests in flight, admitted and refused of each account', async () => {
+  it('lists the numbers of requests in flight, admitted and refused for each account', async () => {
     const body = {model: 'chat', prompt: 'x', max_tokens: 1};
     await postJson(`${stack.gateUrl}/v1/completions`, body, TEST_AUTH);
     const {accounts} = await readAdmin<{accounts: object[]}>(
@@ -36,12 +36,15 @@
   });
 
   it('reports whether a configuration record is valid, and the reason if it is not', async () => {
-    const good = stack.record;
-    const bad = {...good, rules: [{pool: 'ordres', notRepeatable: true}]};
+    const validRecord = stack.record;
+    const invalidRecord = {
+      ...validRecord,
+      rules: [{pool: 'ordres', notRepeatable: true}],
+    };
     const check = (record: object) =>
       postJson(`${adminUrl()}/v1/record/check`, record);
-    expect((await check(good)).body.ok).toEqual(true);
-    expect((await check(bad)).body).toEqual({
+    expect((await check(validRecord)).body.ok).toEqual(true);
+    expect((await check(invalidRecord)).body).toEqual({
       ok: false,
       reason: '(root): rules: no pool ordres',
     });
@@ -55,7 +58,6 @@
   });
 
   it('does not expose targets or metrics on the port for callers', async () => {
-    // Guards against exposing targets and counters to callers.
     const health = await request(`${stack.gateUrl}/healthz`);
     expect(Object.keys((await health.body.json()) as object)).toEqual([
       'id',
@@ -66,7 +68,7 @@
     expect(metrics.statusCode).toEqual(405);
   });
 
-  it('rejects settings without a token for any address other than loopback', () => {
+  it('rejects settings without a token when the listen address is not loopback', () => {
     const settings = {
       id: 'g',
       zone: 'az-1',
@@ -96,10 +98,10 @@
     // Guards against a gate that misses the newest record of its own schema
     // version when records of a later schema version are published around it.
     const {config, gate} = stack;
-    const next = stripVersion(stack.record);
-    config.publish({...next, schemaVersion: 2});
-    const version = config.publish(next);
-    config.publish({...next, schemaVersion: 2});
+    const nextRecord = stripVersion(stack.record);
+    config.publish({...nextRecord, schemaVersion: 2});
+    const version = config.publish(nextRecord);
+    config.publish({...nextRecord, schemaVersion: 2});
     await waitUntil(async () => {
       const {record} = await readAdmin<{record: {version: number}}>(
         gate,
--- a/packages/nutmeggauge/src/e2e/at-most-once.test.ts
+++ b/packages/nutmeggauge/src/e2e/at-most-once.test.ts
@@ -68,7 +68,7 @@
   it('fails with outcome_unknown and is not submitted to another engine', async () => {
     // Guards against executing a non-repeatable request twice after its engine
     // has died.
-    const before = countSubmitted(stack);
+    const submittedBefore = countSubmitted(stack);
     const pending = postJson(
       `${stack.gateUrl}/v1/completions`,
       {model: 'chat', prompt: 'o'.repeat(4000), max_tokens: 150},
@@ -78,7 +78,7 @@
     const res = await pending;
     expect(res.status).toEqual(502);
     expect(res.body.error.type).toEqual('outcome_unknown');
-    expect(countSubmitted(stack) - before).toEqual(1);
+    expect(countSubmitted(stack) - submittedBefore).toEqual(1);
   });
 });
 
@@ -102,22 +102,22 @@
     expect(stack.plain[0].executions.length).toEqual(1);
   });
 
-  it('returns the first answer without executing the order again when it is sent through a new gate', async () => {
+  it('returns the first answer without executing the order again when the retry goes through a new gate', async () => {
     // Guards against a second execution through a gate that has no state about
     // the first one.
     const first = await placeOrder(stack, 'o-2');
     stack.gate.close();
     const configUrl = `http://127.0.0.1:${(stack.config.server.address() as {port: number}).port}`;
-    const gateB = await startTestGate(
+    const newGate = await startTestGate(
       configUrl,
       stack.record.version as number,
     );
     const retry = await postJson(
-      `http://127.0.0.1:${gateB.port}/v1/services/orders/place-order`,
+      `http://127.0.0.1:${newGate.port}/v1/services/orders/place-order`,
       {sku: 'kit-3'},
       {...auth, 'idempotency-key': 'o-2'},
     );
-    gateB.close();
+    newGate.close();
     expect(first.status).toEqual(200);
     expect(retry.body.result.slip).toEqual(first.body.result.slip);
     expect(countExecutions(stack, 'o-2')).toEqual(1);
@@ -162,12 +162,12 @@
   it('is refused with home_unavailable on retry instead of being executed by another agent', async () => {
     // Guards against assigning a new home to the keys of an agent that is down.
     const key = 'o-death';
-    const home = findHomeIndex(stack, key);
+    const homeIndex = findHomeIndex(stack, key);
     const first = await placeOrder(stack, key);
-    stack.agents[1 + home].close();
+    stack.agents[1 + homeIndex].close();
     await waitUntil(
       async () =>
-        (await readTargetUsability(stack))[`plain-${home + 1}`] === false,
+        (await readTargetUsability(stack))[`plain-${homeIndex + 1}`] === false,
     );
     const retry = await placeOrder(stack, key);
     expect(first.status).toEqual(200);
--- a/packages/nutmeggauge/src/e2e/config-faults.test.ts
+++ b/packages/nutmeggauge/src/e2e/config-faults.test.ts
@@ -47,13 +47,15 @@
 
   it('keeps the newest record when a stale replica of the service serves an older one', async () => {
     // Guards against a lagging replica whose old record removes a new API key.
-    const base = stripVersion(stack.record);
+    const baseRecord = stripVersion(stack.record);
     const accounts = [
-      ...(base.accounts as object[]),
+      ...(baseRecord.accounts as object[]),
       {id: 'acct-new', keys: ['new-key-0003'], pools: ['chat']},
     ];
-    const v2 = stack.config.publish({...base, accounts});
-    await waitUntil(async () => (await readConfigVersion(stack)) === v2);
+    const newVersion = stack.config.publish({...baseRecord, accounts});
+    await waitUntil(
+      async () => (await readConfigVersion(stack)) === newVersion,
+    );
     stack.config.setMode('stale');
     await waitUntil(() => stack.config.calls() > 3);
     const res = await postJson(
@@ -62,7 +64,7 @@
       {authorization: 'Bearer new-key-0003'},
     );
     stack.config.setMode('up');
-    expect(await readConfigVersion(stack)).toEqual(v2);
+    expect(await readConfigVersion(stack)).toEqual(newVersion);
     expect(res.status).toEqual(200);
   });
 
--- a/packages/nutmeggauge/src/e2e/daemon.test.ts
+++ b/packages/nutmeggauge/src/e2e/daemon.test.ts
@@ -110,8 +110,11 @@
 
   it('exit with status 1 when their listen address is in use', async () => {
     // Guards against a process that keeps running without its listener.
-    const taken = createServer();
-    const port = await openListener(taken, {host: '127.0.0.1', port: 0});
+    const occupyingServer = createServer();
+    const port = await openListener(occupyingServer, {
+      host: '127.0.0.1',
+      port: 0,
+    });
     for (const name of BINARIES) {
       const file = join(folder, `${name}-taken.yaml`);
       writeFileSync(file, SETTINGS[name].replace('port: 0', `port: ${port}`));
@@ -122,6 +125,6 @@
       expect([name, status]).toEqual([name, 1]);
       expect(output.includes('EADDRINUSE')).toEqual(true);
     }
-    taken.close();
+    occupyingServer.close();
   });
 });
--- a/packages/nutmeggauge/src/e2e/drain.test.ts
+++ b/packages/nutmeggauge/src/e2e/drain.test.ts
@@ -13,7 +13,11 @@
 import type {Stack} from '../test/stack.js';
 
 const auth = {authorization: `Bearer ${TEST_KEY}`};
-const long = {model: 'chat', prompt: 'd'.repeat(4000), max_tokens: 100};
+const longCompletion = {
+  model: 'chat',
+  prompt: 'd'.repeat(4000),
+  max_tokens: 100,
+};
 
 describe('target whose agent drains', () => {
   let stack: Stack;
@@ -27,19 +31,26 @@
   it('receives no new requests and completes the stream in flight', async () => {
     // Guards against cutting a stream when its engine is replaced.
     let drained: Promise<void> | undefined;
-    let busy = -1;
-    const streaming = streamCompletion(stack.gateUrl, long, auth, count => {
-      if (count !== 3) return;
-      busy = stack.engines.findIndex(e => e.scheduler.readLoad().running > 0);
-      drained = stack.agents[busy].drain();
-    });
-    await waitUntil(() => busy >= 0);
+    let busyIndex = -1;
+    const streaming = streamCompletion(
+      stack.gateUrl,
+      longCompletion,
+      auth,
+      count => {
+        if (count !== 3) return;
+        busyIndex = stack.engines.findIndex(
+          e => e.scheduler.readLoad().running > 0,
+        );
+        drained = stack.agents[busyIndex].drain();
+      },
+    );
+    await waitUntil(() => busyIndex >= 0);
     await waitUntil(
       async () =>
-        (await readTargetUsability(stack))[`engine-${busy + 1}`] === false,
+        (await readTargetUsability(stack))[`engine-${busyIndex + 1}`] === false,
     );
-    const submittedBefore = stack.engines[busy].scheduler.submitted;
-    const short = await Promise.all(
+    const submittedBefore = stack.engines[busyIndex].scheduler.submitted;
+    const shortResponses = await Promise.all(
       [1, 2, 3, 4].map(() =>
         postJson(
           `${stack.gateUrl}/v1/completions`,
@@ -50,8 +61,10 @@
     );
     const result = await streaming;
     await drained;
-    expect(short.map(r => r.status)).toEqual([200, 200, 200, 200]);
-    expect(stack.engines[busy].scheduler.submitted).toEqual(submittedBefore);
+    expect(shortResponses.map(r => r.status)).toEqual([200, 200, 200, 200]);
+    expect(stack.engines[busyIndex].scheduler.submitted).toEqual(
+      submittedBefore,
+    );
     expect(result.text).toEqual(renderCompleteAnswer(100));
   });
 });
@@ -100,9 +113,14 @@
   it('completes the stream in flight before the gate stops', async () => {
     // Guards against cutting a stream when its gate is replaced.
     let drained: Promise<void> | undefined;
-    const result = await streamCompletion(stack.gateUrl, long, auth, count => {
-      if (count === 3) drained = stack.gate.drain();
-    });
+    const result = await streamCompletion(
+      stack.gateUrl,
+      longCompletion,
+      auth,
+      count => {
+        if (count === 3) drained = stack.gate.drain();
+      },
+    );
     await drained;
     expect(result.done).toEqual(true);
     expect(result.text).toEqual(renderCompleteAnswer(100));
@@ -135,7 +153,7 @@
 
 /**
  * Sends a request and, after its answer, a second request that the gate reads
- * only after it was told to stop.
+ * only after its drain has begun.
  */
 function sendRequestDuringStop(
   stack: Stack,
@@ -164,7 +182,7 @@
 /** Length of a prompt that the gate receives in many reads, in characters. */
 const LONG_PROMPT_CHARS = 8_000_000;
 
-describe('gate that is told to stop', () => {
+describe('gate whose drain begins', () => {
   let stack: Stack;
   beforeEach(async () => {
     stack = await startStack({engines: 1});
@@ -174,8 +192,8 @@
   });
 
   it('answers a request that has already arrived with status 503 and closes its connection', async () => {
-    // Guards against a connection that is reset on stop because a request on it
-    // is unread.
+    // Guards against a connection that is reset by the drain because a request
+    // on it is unread.
     const {heads, hasReset} = await sendRequestDuringStop(stack, 's');
     expect(hasReset).toEqual(false);
     expect(heads.map(head => head.slice(9, 12))).toEqual(['200', '503']);
@@ -192,7 +210,7 @@
   });
 });
 
-describe('gate that is told to stop during a request', () => {
+describe('gate whose drain begins during a request', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1});
@@ -202,7 +220,7 @@
   });
 
   it('sends Connection: close with the answer', async () => {
-    // Guards against callers that reuse a connection to a stopped gate.
+    // Guards against callers that reuse a connection to a draining gate.
     const {port, hostname} = new URL(stack.gateUrl);
     const text = await new Promise<string>(resolve => {
       let received = '';
--- a/packages/nutmeggauge/src/e2e/protocol-violations.test.ts
+++ b/packages/nutmeggauge/src/e2e/protocol-violations.test.ts
@@ -32,8 +32,8 @@
 
 describe('gate with callers that violate the HTTP protocol', () => {
   let stack: Stack;
-  // Collected here, since the test runner only warns about uncaught errors that
-  // originate in a hook, as those of the stack do.
+  // The test collects uncaught errors itself: the test runner only warns about
+  // errors that originate in a hook, and the stack is started in a hook.
   const uncaughtErrors: unknown[] = [];
   const recordError = (error: unknown) => {
     uncaughtErrors.push(error);
--- a/packages/nutmeggauge/src/e2e/streams.test.ts
+++ b/packages/nutmeggauge/src/e2e/streams.test.ts
@@ -20,7 +20,7 @@
 
 /** Streams an answer and kills its engine after the fifth chunk. */
 async function streamAndKillEngine(stack: Stack) {
-  let busy = -1;
+  let busyIndex = -1;
   let killed: Promise<void> | undefined;
   const result = await streamCompletion(
     stack.gateUrl,
@@ -28,12 +28,14 @@
     TEST_AUTH,
     count => {
       if (count !== 5) return;
-      busy = stack.engines.findIndex(e => e.scheduler.readLoad().running > 0);
-      killed = stack.engines[busy].close();
+      busyIndex = stack.engines.findIndex(
+        e => e.scheduler.readLoad().running > 0,
+      );
+      killed = stack.engines[busyIndex].close();
     },
   );
   await killed;
-  return {result, letter: TOKEN_LETTERS[busy]};
+  return {result, letter: TOKEN_LETTERS[busyIndex]};
 }
 
 describe('stream whose engine dies in a resumable pool', () => {
@@ -45,7 +47,7 @@
     await stack.close();
   });
 
-  it('is resumed on another engine and continues the text of the first one', async () => {
+  it('is resumed on another engine and continues the text of the first engine', async () => {
     // Guards against an answer that mixes the tokens of two runs.
     const {result, letter} = await streamAndKillEngine(stack);
     expect(result.done).toEqual(true);
--- a/packages/nutmeggauge/src/e2e/subset.test.ts
+++ b/packages/nutmeggauge/src/e2e/subset.test.ts
@@ -19,15 +19,19 @@
 
   it('sends every keyed order to its home agent, also when that agent is outside the subset', async () => {
     // Guards against a second home for keys whose home is outside the subset.
-    const linked = Object.keys(await readTargetUsability(stack));
-    expect(linked.filter(id => id.startsWith('plain-')).length).toEqual(1);
+    const connectedIds = Object.keys(await readTargetUsability(stack));
+    expect(connectedIds.filter(id => id.startsWith('plain-')).length).toEqual(
+      1,
+    );
     for (let i = 0; i < 8; i++) {
       const key = `o-subset-${i}`;
       expect((await placeOrder(stack, key)).status).toEqual(200);
       expect((await placeOrder(stack, key)).status).toEqual(200);
       expect(countExecutions(stack, key)).toEqual(1);
     }
-    const used = stack.plain.filter(service => service.executions.length > 0);
-    expect(used.length).toBeGreaterThanOrEqual(2);
+    const usedServices = stack.plain.filter(
+      service => service.executions.length > 0,
+    );
+    expect(usedServices.length).toBeGreaterThanOrEqual(2);
   });
 });
--- a/packages/nutmeggauge/src/properties/protocol.test.ts
+++ b/packages/nutmeggauge/src/properties/protocol.test.ts
@@ -8,12 +8,15 @@
   TargetMode,
 } from '../test/protocol-harness.js';
 
-/** Bound on configuration propagation, in ms: by then every process has the record. */
+/** Longest time until a published record has reached every process, in ms. */
 const CONFIG_PROPAGATION_MS = 8000;
-/** Time until every request has its final answer, in ms: its deadline plus a grace period. */
+/**
+ * Time until every request has its final answer, in ms: the deadline of the
+ * request plus a grace period.
+ */
 const SETTLE_MS = 3000;
-const HOSTS = 3;
-const GATES = 2;
+const HOST_COUNT = 3;
+const GATE_COUNT = 2;
 
 type Step =
   | {
@@ -33,8 +36,8 @@
   | {readonly do: 'apply'; readonly gate: number; readonly host: number}
   | {readonly do: 'wait'; readonly ms: number};
 
-const host = fc.integer({min: 0, max: HOSTS - 1});
-const gate = fc.integer({min: 0, max: GATES - 1});
+const host = fc.integer({min: 0, max: HOST_COUNT - 1});
+const gate = fc.integer({min: 0, max: GATE_COUNT - 1});
 const step: fc.Arbitrary<Step> = fc.oneof(
   {
     weight: 8,
@@ -173,12 +176,12 @@
     mock.timers.reset();
   });
 
-  it('answers every request, runs non-repeatable ones at most once and reports "not run" truthfully', async () => {
-    // Callers send and retry requests while agents, gates, links and targets fail
-    // and the targets of the pool change, in random order.
+  it('answers every request, runs non-repeatable ones at most once and never reports an executed request as not run', async () => {
+    // Callers send and retry requests while agents, gates, links and targets
+    // fail and the targets of the pool change, in random order.
     await fc.assert(
       fc.asyncProperty(fc.array(step, {maxLength: 40}), async steps => {
-        const harness = new ProtocolHarness(HOSTS, GATES);
+        const harness = new ProtocolHarness(HOST_COUNT, GATE_COUNT);
         let msSincePublish = 0;
         for (const next of steps) {
           await runStep(harness, next);
@@ -187,9 +190,10 @@
           if (msSincePublish >= CONFIG_PROPAGATION_MS)
             harness.applyRecordEverywhere();
         }
-        // Some requests reach their deadline at a frozen host; then all hosts thaw.
+        // Some requests reach their deadline at a frozen host; then all hosts
+        // thaw.
         await harness.advance(SETTLE_MS, advanceTimers, 100);
-        for (let i = 0; i < HOSTS; i++) harness.pickHost(i).thaw();
+        for (let i = 0; i < HOST_COUNT; i++) harness.pickHost(i).thaw();
         await harness.advance(SETTLE_MS, advanceTimers, 100);
         for (const sent of harness.sent) checkRequest(harness, sent);
       }),
--- a/packages/nutmeggauge/src/spec/import-cycles.test.ts
+++ b/packages/nutmeggauge/src/spec/import-cycles.test.ts
@@ -4,7 +4,10 @@
 import {expect} from 'earl';
 import ts from 'typescript';
 
-/** Returns each module of a folder with its relative imports, type imports included. */
+/**
+ * Returns each module of a folder with its relative imports, type imports
+ * included.
+ */
 function readImports(folder: string): ReadonlyMap<string, readonly string[]> {
   const files = readdirSync(folder, {recursive: true, encoding: 'utf8'})
     .filter(name => name.endsWith('.ts'))
@@ -25,16 +28,16 @@
 function findCycle(
   imports: ReadonlyMap<string, readonly string[]>,
 ): readonly string[] {
-  const done = new Set<string>();
+  const visitedFiles = new Set<string>();
   const visit = (file: string, chain: readonly string[]): readonly string[] => {
-    const at = chain.indexOf(file);
-    if (at >= 0) return [...chain.slice(at), file];
-    if (done.has(file)) return [];
-    for (const next of imports.get(file) ?? []) {
-      const cycle = visit(next, [...chain, file]);
+    const cycleStart = chain.indexOf(file);
+    if (cycleStart >= 0) return [...chain.slice(cycleStart), file];
+    if (visitedFiles.has(file)) return [];
+    for (const importedFile of imports.get(file) ?? []) {
+      const cycle = visit(importedFile, [...chain, file]);
       if (cycle.length > 0) return cycle;
     }
-    done.add(file);
+    visitedFiles.add(file);
     return [];
   };
   for (const file of imports.keys()) {
--- a/packages/nutmeggauge/src/spec/model-check.test.ts
+++ b/packages/nutmeggauge/src/spec/model-check.test.ts
@@ -10,9 +10,14 @@
   readonly spec:
     'at-most-once' | 'direct-once' | 'drain' | 'facts-relay' | 'fencing';
   readonly defines?: readonly string[];
-  /** Name of the LTL property to check; if absent, the assertions are checked. */
+  /**
+   * Name of the LTL property to check; if absent, the assertions are checked.
+   */
   readonly ltl?: string;
-  /** Whether to assume weak fairness: a process that stays executable eventually runs. */
+  /**
+   * Whether to assume weak fairness: a process that stays executable eventually
+   * runs.
+   */
   readonly isFair?: boolean;
 }
 
@@ -27,10 +32,10 @@
     cwd: dir,
   });
   const fairnessFlags = isFair ? ['-f'] : [];
-  const run = ltl === undefined ? [] : ['-a', ...fairnessFlags, '-N', ltl];
+  const panFlags = ltl === undefined ? [] : ['-a', ...fairnessFlags, '-N', ltl];
   let report: string;
   try {
-    report = execFileSync('./pan', ['-m100000', ...run], {
+    report = execFileSync('./pan', ['-m100000', ...panFlags], {
       cwd: dir,
       encoding: 'utf8',
     });
@@ -67,7 +72,7 @@
 });
 
 describe('spin model of fenced orders to an engine', () => {
-  it('brings an engine that ignores fences to the newest record for good', () => {
+  it('permanently brings an engine that ignores fences to the newest record', () => {
     expect(checkSpec({spec: 'fencing', ltl: 'settles'})).toEqual(0);
   });
 
@@ -141,8 +146,8 @@
   });
 
   it('leaves a gate without the newest facts if the gate ignores the era of a revision', () => {
-    // Mutation: the restored store reuses a revision number, which the gate takes
-    // for the revision that it knows already.
+    // Mutation: the restored store reuses a revision number, which the gate
+    // mistakes for the revision that the gate has applied already.
     const defines = ['-DRESTORE', '-DIGNORE_ERA'];
     expect(checkSpec({...SETTLES, defines})).toEqual(1);
   });
--- a/packages/nutmeggauge/src/test/protocol-harness.ts
+++ b/packages/nutmeggauge/src/test/protocol-harness.ts
@@ -58,7 +58,10 @@
   readonly ids: readonly string[];
 }
 
-/** Target client of one agent incarnation; runs nothing once the agent is killed. */
+/**
+ * Target client of one agent incarnation; runs nothing once the agent is
+ * killed.
+ */
 class HarnessTarget extends TargetClient {
   isKilled = false;
 
@@ -90,21 +93,30 @@
   }
 }
 
-/** A target host: the current incarnation of its agent, and the requests its target ran. */
+/**
+ * A target host: the current incarnation of its agent, and the requests its
+ * target ran.
+ */
 class Host {
   mode: TargetMode = 'answer';
   isFrozen = false;
   isCut = false;
-  /** Number of chunks that the links to this host drop next, like a faulty relay. */
+  /**
+   * Number of chunks that the links to this host drop next, like a faulty
+   * relay.
+   */
   chunksToDrop = 0;
   readonly runs: Array<{readonly requestId: string; readonly key?: string}> =
     [];
   dispatchHandler!: DispatchHandler;
-  /** Aborted when the current incarnation of the agent is killed, to close its links. */
+  /**
+   * Aborted when the current incarnation of the agent is killed, to close its
+   * links.
+   */
   private incarnationController = new AbortController();
   private target!: HarnessTarget;
   private ownership!: KeyOwnership;
-  private waiting: Array<() => void> = [];
+  private thawCallbacks: Array<() => void> = [];
   private record: VersionedTargets;
 
   constructor(
@@ -126,7 +138,7 @@
     this.incarnationController.abort();
     this.incarnationController = new AbortController();
     this.isFrozen = false;
-    this.waiting = [];
+    this.thawCallbacks = [];
     this.record = record;
     this.startIncarnation(Date.now() + CLOCK_SKEW_MS);
   }
@@ -139,13 +151,13 @@
 
   thaw(): void {
     this.isFrozen = false;
-    for (const wake of this.waiting.splice(0)) wake();
+    for (const wake of this.thawCallbacks.splice(0)) wake();
   }
 
   /** Resolves once the host is not frozen any more. */
   async waitUntilThawed(): Promise<void> {
     if (!this.isFrozen) return;
-    await new Promise<void>(resolve => this.waiting.push(resolve));
+    await new Promise<void>(resolve => this.thawCallbacks.push(resolve));
   }
 
   async receive(
@@ -286,11 +298,14 @@
   text: string;
 }
 
-/** Kinds of requests: repeatable, not repeatable by rule, or with an idempotency key. */
+/**
+ * Kinds of requests: repeatable, not repeatable by rule, or with an idempotency
+ * key.
+ */
 export type RequestKind = 'repeatable' | 'rule' | 'keyed';
 
 /**
- * Runs the hosts, gates and callers of one run of a property.
+ * Simulates the hosts, gates and callers of one run of a property test.
  *
  * @example
  * const harness = new ProtocolHarness(3, 2);
@@ -317,11 +332,14 @@
 
   /** Returns the host with index `i`, modulo the number of hosts. */
   pickHost(i: number): Host {
-    const all = [...this.hosts.values()];
-    return all[i % all.length];
+    const allHosts = [...this.hosts.values()];
+    return allHosts[i % allHosts.length];
   }
 
-  /** Sends a request; repeating the `keyIndex` of a keyed request is the caller's retry. */
+  /**
+   * Sends a request; a further keyed request with the same `keyIndex` is a
+   * retry by the caller.
+   */
   send(gateIndex: number, kind: RequestKind, keyIndex: number): void {
     const gate = this.gates[gateIndex % this.gates.length];
     const requestId = `r${this.sent.length}`;
@@ -373,10 +391,12 @@
     );
   }
 
-  /** Publishes a record with all targets, or without the target at index `drop`. */
+  /**
+   * Publishes a record with all targets, or without the target at index `drop`.
+   */
   publishTargets(drop: number | undefined): void {
-    const all = [...this.hosts.keys()];
-    const ids = all.filter((_id, i) => i !== drop);
+    const allIds = [...this.hosts.keys()];
+    const ids = allIds.filter((_id, i) => i !== drop);
     this.record = {version: this.record.version + 1, ids};
   }
 
@@ -390,13 +410,18 @@
     this.pickHost(i).restart(this.record);
   }
 
-  /** Applies the newest record to all gates and hosts, as the propagation bound ensures. */
+  /**
+   * Applies the newest record to all gates and hosts, which happens within the
+   * bound on propagation.
+   */
   applyRecordEverywhere(): void {
     for (const gate of this.gates) gate.record = this.record;
     for (const host of this.hosts.values()) host.applyRecord(this.record);
   }
 
-  /** Counts the runs of requests with this key or, without a key, with this id. */
+  /**
+   * Counts the runs of requests with this key or, without a key, with this id.
+   */
   countRuns(match: {
     readonly key?: string;
     readonly requestId?: string;
@@ -410,7 +435,10 @@
       ).length;
   }
 
-  /** Advances time by `ms` in small steps and lets pending tasks run after each step. */
+  /**
+   * Advances time by `ms` in small steps and lets pending tasks run after each
+   * step.
+   */
   async advance(
     ms: number,
     tick: (stepMs: number) => void,
--- a/packages/nutmeggauge/src/test/stack.ts
+++ b/packages/nutmeggauge/src/test/stack.ts
@@ -32,7 +32,10 @@
   readonly engines: EngineStandIn[];
   readonly plain: PlainServiceStandIn[];
   readonly agents: Agent[];
-  /** Closes the agent of target `index` and starts a new incarnation on the same port. */
+  /**
+   * Closes the agent of target `index` and starts a new incarnation on the same
+   * port.
+   */
   restartAgent(index: number): Promise<void>;
   /** Stand-in of the platform's host list; the gate reads it every 50 ms. */
   readonly hostList: HostListStandIn;
@@ -206,7 +209,10 @@
     .filter(execution => execution.ledgerKey === `acct-a:${key}`).length;
 }
 
-/** Returns the index of the plain service that is the home of the order with `key`. */
+/**
+ * Returns the index of the plain service that is the home of the order with
+ * `key`.
+ */
 export function findHomeIndex(stack: Stack, key: string): number {
   const ids = stack.plain.map((_service, i) => `plain-${i + 1}`);
   return ids.indexOf(findHome(ids, `acct-a:${key}`) ?? '');
@@ -230,7 +236,9 @@
   return Object.fromEntries(targets.map(t => [t.id, t.usable]));
 }
 
-/** Publishes the stack's record with changed chat targets; returns the version. */
+/**
+ * Publishes the stack's record with changed chat targets; returns the version.
+ */
 export function publishChatTargets(
   stack: Stack,
   change: (targets: readonly object[]) => readonly object[],
@@ -243,7 +251,10 @@
   return stack.config.publish({...stripVersion(stack.record), pools});
 }
 
-/** Starts a gate that reads its configuration at `configUrl`, and waits for `version`. */
+/**
+ * Starts a gate that reads its configuration at `configUrl`, and waits until it
+ * has applied record `version`.
+ */
 export async function startTestGate(
   configUrl: string,
   version: number,
@@ -281,7 +292,10 @@
   return gate;
 }
 
-/** Copies a published record without its `version`, so that the copy can be published. */
+/**
+ * Copies a published record without its `version`, so that the copy can be
+ * published.
+ */
 export function stripVersion(
   record: Readonly<Record<string, unknown>>,
 ): Record<string, unknown> {
@@ -290,20 +304,25 @@
   );
 }
 
-/** Polls `check` every 10 ms until it returns true; throws after `timeoutMs`. */
+/**
+ * Polls `check` every 10 ms until it returns true; throws after `timeoutMs`.
+ */
 export async function waitUntil(
   check: () => boolean | Promise<boolean>,
   timeoutMs = 5000,
 ): Promise<void> {
-  const giveUpAt = Date.now() + timeoutMs;
+  const timeoutAt = Date.now() + timeoutMs;
   while (!(await check())) {
-    if (Date.now() > giveUpAt)
+    if (Date.now() > timeoutAt)
       throw new Error('condition not met before the timeout');
     await waitMs(10);
   }
 }
 
-/** Streams a completion; calls `onChunk` after each text chunk with the count so far. */
+/**
+ * Streams a completion; calls `onChunk` after each text chunk with the number
+ * of chunks so far.
+ */
 export async function streamCompletion(
   gateUrl: string,
   body: object,
@@ -345,12 +364,18 @@
   return {status: 200, text, done, error};
 }
 
-/** Renders the complete text that an engine stand-in with this letter generates for `n` tokens. */
-export function renderCompleteAnswer(n: number, letter = 't'): string {
-  return Array.from({length: n}, (_, i) => ` ${letter}${i}`).join('');
+/**
+ * Renders the complete text that an engine stand-in with this letter generates
+ * for `tokenCount` tokens.
+ */
+export function renderCompleteAnswer(tokenCount: number, letter = 't'): string {
+  return Array.from({length: tokenCount}, (_, i) => ` ${letter}${i}`).join('');
 }
 
-/** Waits until the gate holds `version` or a newer one and every target is usable. */
+/**
+ * Waits until the gate has applied record `version` or a newer record and every
+ * target is usable.
+ */
 export async function waitForGate(gate: Gate, version: number): Promise<void> {
   await waitUntil(async () => {
     const {record} = await readAdmin<{record: {version: number}}>(
@@ -365,7 +390,10 @@
   }, 10_000);
 }
 
-/** Posts JSON and returns status, headers and body of the response, parsed if it is JSON. */
+/**
+ * Posts JSON and returns status, headers and body of the response, parsed if it
+ * is JSON.
+ */
 export async function postJson(
   url: string,
   body: unknown,
@@ -373,7 +401,8 @@
 ): Promise<{
   status: number;
   headers: Record<string, unknown>;
-  // Tests read single fields of responses; a schema per response would only repeat them.
+  // Tests read single fields of responses; a schema per response would only
+  // repeat them.
   // eslint-disable-next-line @typescript-eslint/no-explicit-any
   body: any;
 }> {
--- a/packages/nutmeggauge/src/timeline/log-files.ts
+++ b/packages/nutmeggauge/src/timeline/log-files.ts
@@ -1,6 +1,6 @@
 /**
- * Reads log files of JSON lines, each after any prefix that a log collector
- * adds.
+ * Reads log files of JSON lines, with or without a prefix that a log collector
+ * has added to each line.
  */
 import {readFileSync, readdirSync, statSync} from 'node:fs';
 import {join} from 'node:path';
