--- a/packages/nutmeggauge/src/losses/engine-activity.ts
+++ b/packages/nutmeggauge/src/losses/engine-activity.ts
@@ -34,8 +34,8 @@
 const PLOT_MARGIN_MS = 1000;
 
 /**
- * Picks the prompt to plot: the largest one with a late answer, or else the
- * largest one.
+ * Picks the prompt to plot: the largest prompt with a late answer, or the
+ * largest prompt if no answer is late.
  *
  * @example
  * pickPrompt(requests)?.requestId;
@@ -106,9 +106,9 @@
     .flatMap(({attempt}) => listSpans(attempt, attempt === request.attempt))
     .filter(span => span.to >= from && span.from <= to);
   const selectedSpans = spans.filter(({isSelected}) => isSelected);
-  const others = spans.map(({engine}) => engine).sort();
+  const sortedEngines = spans.map(({engine}) => engine).sort();
   const engines = [
-    ...new Set([...selectedSpans.map(({engine}) => engine), ...others]),
+    ...new Set([...selectedSpans.map(({engine}) => engine), ...sortedEngines]),
   ];
   return {request, from, to, engines, spans};
 }
--- a/packages/nutmeggauge/src/losses/gate-gaps.ts
+++ b/packages/nutmeggauge/src/losses/gate-gaps.ts
@@ -87,20 +87,24 @@
   rate: number,
 ): readonly GateGap[] {
   const gaps: GateGap[] = [];
-  let before: GateIncarnation | undefined;
+  let previous: GateIncarnation | undefined;
   for (const gateIncarnation of incarnations) {
     // An incarnation that failed to start does not end the gap.
-    if (before !== undefined && gateIncarnation.servesFrom === undefined)
+    if (previous !== undefined && gateIncarnation.servesFrom === undefined)
       continue;
-    if (before !== undefined && gateIncarnation.servesFrom !== undefined)
-      gaps.push(buildGap(before, gateIncarnation.servesFrom, rate));
-    before = gateIncarnation;
+    if (previous !== undefined && gateIncarnation.servesFrom !== undefined)
+      gaps.push(buildGap(previous, gateIncarnation.servesFrom, rate));
+    previous = gateIncarnation;
   }
   return gaps;
 }
 
-function buildGap(before: GateIncarnation, to: number, rate: number): GateGap {
-  const {proc, hasDrained, lines} = before;
+function buildGap(
+  previous: GateIncarnation,
+  to: number,
+  rate: number,
+): GateGap {
+  const {proc, hasDrained, lines} = previous;
   const from = lines[lines.length - 1].t;
   const ms = Math.max(0, to - from);
   return {proc, from, to, ms, hasDrained, estimatedWorth: ms * rate};
--- a/packages/nutmeggauge/src/losses/gate-incarnations.ts
+++ b/packages/nutmeggauge/src/losses/gate-incarnations.ts
@@ -103,8 +103,8 @@
 
   private begin(proc: string): IncarnationBuilder {
     const previousBuilders = this.buildersByProc.get(proc) ?? [];
-    const before = previousBuilders.at(-1);
-    if (before !== undefined) before.hasSuccessor = true;
+    const previous = previousBuilders.at(-1);
+    if (previous !== undefined) previous.hasSuccessor = true;
     const builder = new IncarnationBuilder(proc);
     this.buildersByProc.set(proc, [...previousBuilders, builder]);
     return builder;
@@ -187,7 +187,8 @@
  * Reads the lines of gates from log files, or from every `.log` file of a
  * folder, grouped by incarnation.
  *
- * @throws InputFileError when a file is missing or no line was written by a gate.
+ * @throws InputFileError when a file is missing or no line was written by a
+ *   gate.
  * @example
  * readGateLogs(['runs/soak-112']).incarnations.length;
  */
--- a/packages/nutmeggauge/src/losses/judge-request.test.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.test.ts
@@ -30,7 +30,7 @@
 }
 
 describe('judging requests', () => {
-  it('tells a late answer that was predicted in time from one that was predicted late', () => {
+  it('distinguishes a late answer predicted in time from a late answer predicted late', () => {
     // Guards against blaming the prediction for the time for which the
     // placement of a prompt was deferred.
     const mispredicted = judgeSingle([
@@ -83,7 +83,7 @@
   });
 
   it('assigns a cause and a full loss to each outcome that is not a successful answer', () => {
-    const ends = {
+    const causesByOutcome = {
       too_late: 'refused',
       overloaded: 'refused',
       no_target: 'refused',
@@ -93,7 +93,7 @@
       target_failure: 'cut',
       caller_left: 'caller-left',
     } as const;
-    for (const [outcome, cause] of Object.entries(ends)) {
+    for (const [outcome, cause] of Object.entries(causesByOutcome)) {
       const judged = judgeSingle([buildRequestEndedLine(900, 'q', {outcome})]);
       expect(judged.cause).toEqual(cause);
       expect(judged.lost).toEqual(judged.worth);
@@ -150,13 +150,13 @@
       buildLogLine(900, 'gate_started'),
       buildStreamPlacedLine(950, 'open'),
     ]);
-    const short = requests.map(({requestId, cause, kind, isOpen}) => [
+    const summaries = requests.map(({requestId, cause, kind, isOpen}) => [
       requestId,
       cause,
       kind,
       isOpen,
     ]);
-    expect(short).toEqual([
+    expect(summaries).toEqual([
       ['placed', 'gate-ended', 'stream', false],
       ['kept', 'gate-ended', 'stream', false],
       ['open', undefined, 'stream', true],
@@ -182,15 +182,15 @@
 
   it('assigns gate-ended to a request in progress at a gate that stops logging for good', () => {
     // Guards against missing a request that was lost with the host of its gate.
-    const held = buildStreamPlacedLine(10, 'held');
+    const placedLine = buildStreamPlacedLine(10, 'held');
     const buildLaterEnd = (ms: number) => ({
       ...buildRequestEndedLine(ms, 'other'),
       proc: 'g2',
     });
-    expect(judgeLog([held, buildLaterEnd(11_000)])[0].cause).toEqual(
+    expect(judgeLog([placedLine, buildLaterEnd(11_000)])[0].cause).toEqual(
       'gate-ended',
     );
-    expect(judgeLog([held, buildLaterEnd(9000)])[0].isOpen).toEqual(true);
+    expect(judgeLog([placedLine, buildLaterEnd(9000)])[0].isOpen).toEqual(true);
   });
 
   it('reports no forecast when the clock was set back during the request', () => {
--- a/packages/nutmeggauge/src/losses/judge-request.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.ts
@@ -46,7 +46,7 @@
   readonly size: string;
   readonly tokens: number | undefined;
   /**
-   * First arrival of the request, as wall-clock time of the gate there, in ms.
+   * Arrival of the first client attempt, as wall-clock time of its gate, in ms.
    */
   readonly arrivedAt: number;
   readonly worth: number;
--- a/packages/nutmeggauge/src/losses/losses.ts
+++ b/packages/nutmeggauge/src/losses/losses.ts
@@ -81,7 +81,8 @@
  * Analyses logs, writes the requested output files, and returns the analysis as
  * text.
  *
- * @throws InputFileError when a log is missing or no line was written by a gate.
+ * @throws InputFileError when a log is missing or no line was written by a
+ *   gate.
  * @throws SettingsError when the file with the objectives is invalid.
  * @throws UnknownRequestError when no log line has the requested id.
  * @throws OutputFileError when an output file cannot be written.
--- a/packages/nutmeggauge/src/losses/sourced-lines.ts
+++ b/packages/nutmeggauge/src/losses/sourced-lines.ts
@@ -103,15 +103,16 @@
  */
 export function readSourcedLines(paths: readonly string[]): SourcedLines {
   const files = listLogFiles(paths);
-  const contents = files
+  const linesOfFiles = files
     .map(readFileLines)
     .sort((a, b) => a.firstTimestamp - b.firstTimestamp);
-  const lines = mergeFiles(contents);
+  const lines = mergeFiles(linesOfFiles);
   return {
     files,
     lines,
-    malformedLines: sum(contents.map(({malformed}) => malformed)),
-    foreignLines: sum(contents.map(({foreign}) => foreign)),
-    repeatedLines: sum(contents.map(file => file.lines.length)) - lines.length,
+    malformedLines: sum(linesOfFiles.map(({malformed}) => malformed)),
+    foreignLines: sum(linesOfFiles.map(({foreign}) => foreign)),
+    repeatedLines:
+      sum(linesOfFiles.map(file => file.lines.length)) - lines.length,
   };
 }
--- a/packages/nutmeggauge/src/losses/summarize-losses.ts
+++ b/packages/nutmeggauge/src/losses/summarize-losses.ts
@@ -109,9 +109,9 @@
  */
 export function summarizeLosses(
   logs: GateLogs,
-  all: readonly JudgedRequest[],
+  judgedRequests: readonly JudgedRequest[],
 ): LossAnalysis {
-  const requests = all.filter(({isOpen}) => !isOpen);
+  const requests = judgedRequests.filter(({isOpen}) => !isOpen);
   const gaps = listGaps(
     logs.incarnations,
     estimateRates(logs.incarnations, requests),
@@ -121,7 +121,7 @@
     0,
   );
   return {
-    coverage: describeCoverage(logs, all),
+    coverage: describeCoverage(logs, judgedRequests),
     worth: sumWorth(requests),
     lost: sumLost(requests),
     estimatedNoGate,
--- a/packages/nutmeggauge/src/losses/tables.ts
+++ b/packages/nutmeggauge/src/losses/tables.ts
@@ -75,12 +75,12 @@
 ];
 
 const WINDOW_COLUMNS: ReadonlyArray<Column<LossWindow>> = [
-  ['from', m => formatTime(m.from)],
-  ['requests', m => String(m.requests)],
-  ['worth', m => formatWorth(m.worth)],
-  ['lost', m => formatWorth(m.lost)],
-  ['main cause', m => CAUSE_NAMES[m.mainCause]],
-  ['lost by main cause', m => formatWorth(m.byCause[m.mainCause].worth)],
+  ['from', w => formatTime(w.from)],
+  ['requests', w => String(w.requests)],
+  ['worth', w => formatWorth(w.worth)],
+  ['lost', w => formatWorth(w.lost)],
+  ['main cause', w => CAUSE_NAMES[w.mainCause]],
+  ['lost by main cause', w => formatWorth(w.byCause[w.mainCause].worth)],
 ];
 
 const ENGINE_COLUMNS: ReadonlyArray<Column<EngineLosses>> = [
--- a/packages/nutmeggauge/src/losses/worth.ts
+++ b/packages/nutmeggauge/src/losses/worth.ts
@@ -1,12 +1,12 @@
 /**
- * Estimates the worth of a request, relative to a short one, and the part that
- * is lost by the way the request ended.
+ * Estimates the worth of a request relative to a short request, and the part of
+ * it that the request loses by a cause.
  */
 import type {Cause} from './causes.js';
 
 /**
- * Number of prompt tokens worth as much as one short request; the gate's
- * placement uses the same number.
+ * Number of prompt tokens that are worth as much as one short request; the
+ * gate's placement uses the same number.
  */
 const TOKENS_PER_WORTH = 10_000;
 
