--- a/packages/nutmeggauge/src/soak/callers.ts
+++ b/packages/nutmeggauge/src/soak/callers.ts
@@ -26,7 +26,10 @@
 /** Number of a caller's requests from one huge prompt to the next. */
 const HUGE_PROMPT_INTERVAL = 12;
 
-/** Share of the gates' idle timeout after which a caller drops an idle connection. */
+/**
+ * Share of the gates' idle timeout after which a caller drops an idle
+ * connection.
+ */
 const MAX_IDLE_SHARE = 0.8;
 
 /** Port on which callers reach a gate. */
@@ -43,7 +46,7 @@
  */
 export class Caller {
   private readonly agent: Agent;
-  private lastNumber = 0;
+  private lastRequestNumber = 0;
 
   /**
    * @param idleTimeoutMs - Idle timeout of the gates' connections, in ms.
@@ -56,15 +59,17 @@
     this.agent = new Agent({keepAlive: true, maxSockets: 20, timeout});
   }
 
-  /** Sends one request and resolves with its record once the request has ended. */
+  /**
+   * Sends one request and resolves with its record once the request has ended.
+   */
   call(
     endpoint: GateEndpoint,
     kind: StandinKind,
     key: string,
   ): Promise<CallerRecord> {
-    const number = ++this.lastNumber;
+    const requestNumber = ++this.lastRequestNumber;
     const exchange = new CallerExchange({
-      requestId: `${this.name}-${number}`,
+      requestId: `${this.name}-${requestNumber}`,
       kind,
       gate: endpoint.gate,
       key,
@@ -73,7 +78,7 @@
     return exchange.run(
       endpoint.port,
       this.agent,
-      countPromptTokens(kind, number),
+      countPromptTokens(kind, requestNumber),
     );
   }
 
@@ -85,11 +90,11 @@
 
 function countPromptTokens(
   kind: StandinKind,
-  number: number,
+  requestNumber: number,
 ): number | undefined {
   if (kind === 'safe' || kind === 'unsafe') return undefined;
-  if (number % HUGE_PROMPT_INTERVAL === 0) return HUGE_PROMPT_TOKENS;
-  return PROMPT_TOKENS[number % PROMPT_TOKENS.length];
+  if (requestNumber % HUGE_PROMPT_INTERVAL === 0) return HUGE_PROMPT_TOKENS;
+  return PROMPT_TOKENS[requestNumber % PROMPT_TOKENS.length];
 }
 
 type SentRequestFields = Pick<
--- a/packages/nutmeggauge/src/soak/check-answered.ts
+++ b/packages/nutmeggauge/src/soak/check-answered.ts
@@ -1,24 +1,29 @@
-/** Checks that every request is answered unless its gate was unable to answer. */
+/**
+ * Checks that every request is answered unless its gate was unable to answer.
+ */
 import type {GateOutage} from './gate-process.js';
 import type {CallerRecord, InjectedFault, SoakHistory} from './history.js';
 import type {Violation} from './violation.js';
 
 /**
- * Time for which a gate still serves after it is told to stop, in ms. Not
- * checked on a busy machine, where requests leave later than their `sentAt`.
+ * Time for which a gate still serves requests after SIGTERM, in ms. Not checked
+ * on a busy machine, where requests leave later than their `sentAt`.
  */
 const SERVED_AFTER_STOP_MS = 2500;
 
-/** Time after the end of a link fault in which connections may still drop, in ms. */
+/**
+ * Time after the end of a link fault in which connections may still drop, in
+ * ms.
+ */
 const LINK_RECOVERY_MS = 500;
 
-/** Time from the signal to stop until a gate aborts open requests, in ms. */
+/** Time from SIGTERM until a gate aborts open requests, in ms. */
 const ABORTED_AFTER_STOP_MS = 7500;
 
 /**
  * Finds requests whose connection ended without an answer. A missing answer is
- * excused if the gate did not run or had time to stop, or if the link between
- * caller and gate was faulty.
+ * excused if the gate was down, if the gate had received SIGTERM early enough,
+ * or if the link between caller and gate was faulty.
  *
  * @param hasTiming - Whether to check requests to a stopping gate as well.
  * @example
@@ -52,7 +57,7 @@
 
 /**
  * Returns true if an outage of the gate excuses a missing answer. A gate that
- * exits after a graceful stop must answer what was sent before the outage.
+ * exits after a graceful stop must answer requests sent before the outage.
  */
 function isOutageExcuse(
   {node, isStop, from, to}: GateOutage,
@@ -62,7 +67,10 @@
   return isStop ? from <= sentAt : from <= endedAt;
 }
 
-/** Returns true if a fault of the caller's link or a gate stop excuses a missing answer. */
+/**
+ * Returns true if a fault of the caller's link or a gate stop excuses a missing
+ * answer.
+ */
 function isFaultExcuse(
   {action, beganAt, endedAt}: InjectedFault,
   record: CallerRecord,
--- a/packages/nutmeggauge/src/soak/check.test.ts
+++ b/packages/nutmeggauge/src/soak/check.test.ts
@@ -50,9 +50,10 @@
   return violations.map(({promise}) => promise);
 }
 
-function buildStream(events: number): string {
+function buildStream(eventCount: number): string {
   let text = '';
-  for (let n = 1; n <= events; n++) text += buildEvent('q1', n);
+  for (let eventNumber = 1; eventNumber <= eventCount; eventNumber++)
+    text += buildEvent('q1', eventNumber);
   return text;
 }
 
@@ -68,14 +69,17 @@
     expect(listViolatedInvariants({records: [STREAM_RECORD]})).toEqual([]);
   });
 
-  it('reports an unanswered request unless its gate was down or had been told to stop in time', () => {
-    const lost = {
+  it('reports an unanswered request unless its gate was down or had received SIGTERM early enough', () => {
+    const unansweredRecord = {
       ...SERVED_RECORD,
       status: undefined,
       body: '',
       isWhole: false,
     };
-    const records = [lost, ...Array<CallerRecord>(9).fill(SERVED_RECORD)];
+    const records = [
+      unansweredRecord,
+      ...Array<CallerRecord>(9).fill(SERVED_RECORD),
+    ];
     const outage = {node: 'gate-0', isStop: false, from: 9000, to: 10_010};
     const stop = (beganAt: number): InjectedFault => ({
       action: {kind: 'gate-drain', gate: 0},
@@ -123,12 +127,12 @@
   });
 
   it('reports a truncated stream that ended normally but not one whose connection broke', () => {
-    const short = {...STREAM_RECORD, body: buildStream(3)};
-    expect(listViolatedInvariants({records: [short]})).toEqual([
+    const truncatedRecord = {...STREAM_RECORD, body: buildStream(3)};
+    expect(listViolatedInvariants({records: [truncatedRecord]})).toEqual([
       'whole-answer',
     ]);
     expect(
-      listViolatedInvariants({records: [{...short, isWhole: false}]}),
+      listViolatedInvariants({records: [{...truncatedRecord, isWhole: false}]}),
     ).toEqual([]);
   });
 
--- a/packages/nutmeggauge/src/soak/check.ts
+++ b/packages/nutmeggauge/src/soak/check.ts
@@ -15,7 +15,9 @@
 import type {CallerRecord, InjectedFault, SoakHistory} from './history.js';
 import type {FaultAction} from './schedule.js';
 
-/** Status codes that guarantee that a request has not run and never will. */
+/**
+ * Status codes that guarantee that a request has not run and never will run.
+ */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** Maximum number of attempts per request, as configured for its route. */
@@ -91,7 +93,10 @@
   return found;
 }
 
-/** Checks that a success is signed and has the body that targets send for the request. */
+/**
+ * Checks that a success is signed and has the body that targets send for the
+ * request.
+ */
 function checkAnswer(record: CallerRecord): readonly Violation[] {
   const {requestId, kind, status, body, isWhole, hasGivenUp} = record;
   if (status !== 200) return [];
@@ -115,8 +120,8 @@
 
 function buildStreamBody(requestId: string): string {
   let text = '';
-  for (let number = 1; number <= STREAM_EVENTS; number++)
-    text += buildEvent(requestId, number);
+  for (let eventNumber = 1; eventNumber <= STREAM_EVENTS; eventNumber++)
+    text += buildEvent(requestId, eventNumber);
   return text;
 }
 
@@ -202,18 +207,21 @@
   private checkDrain(record: CallerRecord): readonly Violation[] {
     const {requestId, gate} = record;
     for (const run of this.runs.get(requestId) ?? []) {
-      const left = this.history.published.find(
+      const drainFact = this.history.published.find(
         fact => fact.kind === 'target-draining' && fact.id === run.target,
       );
-      if (left === undefined || run.at < left.at + PROPAGATION_MS) continue;
+      if (drainFact === undefined || run.at < drainFact.at + PROPAGATION_MS)
+        continue;
       if (!this.isInContact(gate, run.at)) continue;
-      const lateMs = Math.round(run.at - left.at);
+      const lateMs = Math.round(run.at - drainFact.at);
       return [{promise: 'drain', requestId, detail: `${lateMs} ms after`}];
     }
     return [];
   }
 
-  /** Checks that a graceful stop cuts off no request that a healthy target runs. */
+  /**
+   * Checks that a graceful stop cuts off no request that a healthy target runs.
+   */
   private checkGracefulStop(record: CallerRecord): readonly Violation[] {
     const {requestId, gate, sentAt, endedAt, status, isWhole} = record;
     const runs = this.runs.get(requestId) ?? [];
@@ -249,7 +257,10 @@
     return [{promise: 'recovery', requestId: undefined, detail}];
   }
 
-  /** Returns true if no fault of the gate, its links or the store was active shortly before. */
+  /**
+   * Returns true if no fault of the gate, its links or the store was active at
+   * the given time or shortly before.
+   */
   private isInContact(gate: number, at: number): boolean {
     return !this.isAffected(
       at,
@@ -275,14 +286,16 @@
   }
 }
 
-/** Returns true for a fault of this gate or of one of its own links. */
+/** Returns true for a fault of the given gate or of one of its links. */
 function isGateFault(action: FaultAction, gate: number): boolean {
   if (action.kind === 'all-gates-kill') return true;
   if (action.kind === 'gate-reload') return false;
   return 'gate' in action && action.gate === gate;
 }
 
-/** Returns true for a fault of this gate, its own links or any target. */
+/**
+ * Returns true for a fault of the given gate, one of its links or any target.
+ */
 function isGateOrTargetFault(action: FaultAction, gate: number): boolean {
   return isGateFault(action, gate) || 'target' in action;
 }
--- a/packages/nutmeggauge/src/soak/cluster-check.ts
+++ b/packages/nutmeggauge/src/soak/cluster-check.ts
@@ -9,7 +9,7 @@
  */
 const MAX_SEND_DELAY_MS = 1000;
 
-/** A violated invariant. */
+/** A violated invariant, with a description of what was observed. */
 export interface ClusterViolation {
   readonly promise: 'answered' | 'at-most-once' | 'not-run' | 'same-answer';
   readonly detail: string;
@@ -24,7 +24,7 @@
 }
 
 /**
- * Finds every violated invariant. A missing answer is excused only if the gate
+ * Finds every violated invariant. A missing answer is excused only if its gate
  * was killed or stopped during the request.
  *
  * @example
--- a/packages/nutmeggauge/src/soak/cluster-soak.test.ts
+++ b/packages/nutmeggauge/src/soak/cluster-soak.test.ts
@@ -51,7 +51,7 @@
   }).map(({promise}) => promise);
 }
 
-function buildPlayedFault(
+function buildInjectedFault(
   kind: Fault['kind'],
   process: string,
   beganAt: number,
@@ -69,12 +69,12 @@
   });
 
   it('reports an unanswered request whose gate was only suspended', () => {
-    const faults = [buildPlayedFault('pause', 'gate-2', 10_100)];
+    const faults = [buildInjectedFault('pause', 'gate-2', 10_100)];
     expect(listViolatedInvariants({faults})).toEqual(['answered']);
   });
 
   it('excuses a missing answer if its gate was killed meanwhile but not if another gate was', () => {
-    const killed = (name: string) => [buildPlayedFault('kill', name, 10_100)];
+    const killed = (name: string) => [buildInjectedFault('kill', name, 10_100)];
     expect(listViolatedInvariants({faults: killed('gate-2')})).toEqual([]);
     expect(listViolatedInvariants({faults: killed('gate-1')})).toEqual([
       'answered',
@@ -83,16 +83,18 @@
 
   it('excuses a stopped gate only for requests sent after its stop or shortly before', () => {
     const stopped = (beganAt: number) => [
-      buildPlayedFault('stop', 'gate-2', beganAt),
+      buildInjectedFault('stop', 'gate-2', beganAt),
     ];
     expect(listViolatedInvariants({faults: stopped(11_100)})).toEqual([
       'answered',
     ]);
-    const early = [{...BROKEN_RESULT, totalMs: 2000}];
-    expect(listViolatedInvariants({faults: stopped(11_100)}, early)).toEqual([
-      'answered',
-    ]);
-    expect(listViolatedInvariants({faults: stopped(9900)}, early)).toEqual([]);
+    const longResults = [{...BROKEN_RESULT, totalMs: 2000}];
+    expect(
+      listViolatedInvariants({faults: stopped(11_100)}, longResults),
+    ).toEqual(['answered']);
+    expect(
+      listViolatedInvariants({faults: stopped(9900)}, longResults),
+    ).toEqual([]);
     const refused = [{...BROKEN_RESULT, errorCode: 'ECONNREFUSED'}];
     expect(listViolatedInvariants({faults: stopped(9900)}, refused)).toEqual(
       [],
@@ -125,7 +127,7 @@
     lengthMs: 30_000,
   };
 
-  it('builds the same faults for the same seed, all ending with the load', () => {
+  it('builds the same faults for the same seed, all ending by the end of the load', () => {
     const faults = buildRandomFaults(options);
     expect(buildRandomFaults(options)).toEqual([...faults]);
     const ends = faults.map(({atMs, forMs}) => atMs + forMs);
--- a/packages/nutmeggauge/src/soak/cluster-soak.ts
+++ b/packages/nutmeggauge/src/soak/cluster-soak.ts
@@ -40,8 +40,8 @@
   readonly violations: readonly ClusterViolation[];
 }
 
-const ENGINES = 3;
-const PLAIN_SERVICES = 1;
+const ENGINE_COUNT = 3;
+const PLAIN_SERVICE_COUNT = 1;
 
 /** Deadline of every request, in ms after the request is sent. */
 const DEADLINE_MS = 10_000;
@@ -58,7 +58,10 @@
 /** Requests per second within a burst. */
 const BURST_RATE = 60;
 
-/** Cap on a caller's idle time, in ms: so high that the gate's announced timeout applies. */
+/**
+ * Limit on the idle time of a caller's connection, in ms: so high that the
+ * timeout that the gate announces applies.
+ */
 const MAX_CALLER_IDLE_MS = 600_000;
 
 /**
@@ -73,10 +76,11 @@
   const {runDir, gates} = options;
   const cluster = await startLocalCluster({
     runDir,
-    // On a loopback host of its own, no other run takes a stopped process's ports.
+    // A separate loopback host, so that no other run can take the ports of a
+    // stopped process.
     host: buildLoopbackHost(0),
-    engines: ENGINES,
-    plainServices: PLAIN_SERVICES,
+    engines: ENGINE_COUNT,
+    plainServices: PLAIN_SERVICE_COUNT,
     gates,
   });
   try {
@@ -109,7 +113,8 @@
   const [results, faults] = await Promise.all([
     runPlan(plan, {
       gateUrls: cluster.gateUrls,
-      // A load balancer knows of planned stops and sends such gates no requests.
+      // A load balancer knows of planned stops and sends no requests to a
+      // stopping gate.
       isInRotation: url =>
         cluster.isActive(gateNames[cluster.gateUrls.indexOf(url)]),
       deadlineMs: DEADLINE_MS,
@@ -142,11 +147,11 @@
   const random = xoroshiro128plus(seed);
   const plan: PlannedRequest[] = [];
   let startMs = 0;
-  for (let burst = 0; startMs < lengthMs; burst++) {
+  for (let burstIndex = 0; startMs < lengthMs; burstIndex++) {
     const requests = uniformInt(random, 2, MAX_BURST_REQUESTS);
     const spec: WorkloadSpec = {
       ...FAULT_WORKLOAD,
-      seed: seed + burst,
+      seed: seed + burstIndex,
       requests,
       ratePerSecond: BURST_RATE,
       orders: Math.ceil(requests / 4),
@@ -158,7 +163,7 @@
       index: firstIndex + request.index,
       atMs: startMs + request.atMs,
       ...('orderName' in request
-        ? {orderName: `${burst}-${request.orderName}`}
+        ? {orderName: `${burstIndex}-${request.orderName}`}
         : {}),
     }));
     plan.push(...planned);
--- a/packages/nutmeggauge/src/soak/faulty-link.test.ts
+++ b/packages/nutmeggauge/src/soak/faulty-link.test.ts
@@ -35,7 +35,7 @@
     expect(String((await once(caller, 'data'))[0])).toEqual('answer');
   });
 
-  it('resets open connections instead of closing them', async () => {
+  it('resets open connections, instead of closing them, when it drops connections', async () => {
     const caller = connect(port, '127.0.0.1');
     await accepted.then(served => served.on('error', () => undefined));
     const failed = once(caller, 'error');
--- a/packages/nutmeggauge/src/soak/gate-process.ts
+++ b/packages/nutmeggauge/src/soak/gate-process.ts
@@ -19,7 +19,9 @@
 /** Text in the log line that a gate writes once it listens. */
 const STARTED_EVENT_TEXT = '"gate_started"';
 
-/** A period in which a gate did not listen; times on the monotonic clock, in ms. */
+/**
+ * A period in which a gate did not listen; times on the monotonic clock, in ms.
+ */
 export interface GateOutage {
   readonly node: string;
   /** Whether the process exited with code 0, after a graceful stop. */
@@ -34,7 +36,10 @@
   readonly node: string;
   readonly code: number | null;
   readonly signal: string | null;
-  /** Whether the program had begun to log; before that, Node itself is starting. */
+  /**
+   * Whether the gate program had begun to log; before that, Node itself is
+   * starting.
+   */
   readonly hadBegun: boolean;
 }
 
@@ -51,7 +56,10 @@
   /** Periods in which the gate did not listen, oldest first. */
   readonly outages: GateOutage[] = [];
   private child: ChildProcess | undefined;
-  /** When the current process was killed; undefined while it was not. */
+  /**
+   * Time on the monotonic clock at which the current process was killed, in ms;
+   * undefined if the process was not killed.
+   */
   private killedAt: number | undefined;
   private isExitExpected = false;
   private isClosed = false;
@@ -99,7 +107,10 @@
     this.child?.kill('SIGKILL');
   }
 
-  /** Sends SIGTERM, and SIGKILL if the process outlasts the longest graceful stop. */
+  /**
+   * Sends SIGTERM, and SIGKILL if the process outlasts the longest graceful
+   * stop.
+   */
   drain(): void {
     this.isExitExpected = true;
     const {child} = this;
@@ -128,7 +139,9 @@
     this.child?.kill('SIGHUP');
   }
 
-  /** Ends the open outage once the process listens, and begins one at its exit. */
+  /**
+   * Ends the open outage once the process listens, and begins one at its exit.
+   */
   private observeOutage(child: ChildProcess): void {
     if (this.outages.length === 0) this.openOutage(false);
     let text = '';
@@ -149,7 +162,8 @@
 
   private openOutage(isStop: boolean): void {
     const {node} = this.addresses;
-    // On a busy machine the exit event arrives late; the time of the kill is exact.
+    // On a busy machine the exit event arrives late; the time of the kill is
+    // exact.
     const from = this.killedAt ?? performance.now();
     this.outages.push({node, isStop, from, to: Infinity});
   }
--- a/packages/nutmeggauge/src/soak/history.ts
+++ b/packages/nutmeggauge/src/soak/history.ts
@@ -1,4 +1,7 @@
-/** Types of a soak run's history, as observed by callers, targets and the driver. */
+/**
+ * Types of a soak run's history, as observed by callers, targets and the
+ * driver.
+ */
 import type {StandinKind, TargetRun} from '@nutmeggauge/platform';
 import type {GateOutage, UnexpectedExit} from './gate-process.js';
 import type {FaultAction} from './schedule.js';
@@ -22,7 +25,10 @@
   readonly hasGivenUp: boolean;
 }
 
-/** A fault that was injected, and when. */
+/**
+ * A fault that was injected, with its start and end on the driver's monotonic
+ * clock, in ms.
+ */
 export interface InjectedFault {
   readonly action: FaultAction;
   readonly beganAt: number;
--- a/packages/nutmeggauge/src/soak/regression-seeds.ts
+++ b/packages/nutmeggauge/src/soak/regression-seeds.ts
@@ -1,6 +1,8 @@
-/** Seeds with which a soak has revealed a fault, and the cause of each fault. */
+/**
+ * Seeds with which a soak has revealed a fault, and the cause of each fault.
+ */
 
-/** A seed and the cause of the fault that it revealed. */
+/** A seed and the cause of the fault that the seed revealed. */
 export interface RegressionSeed {
   readonly seed: number;
   readonly cause: string;
@@ -25,7 +27,9 @@
 const REQUEST_UNREAD_AT_STOP =
   'a stopping gate closed its listener and connections before reading requests that had arrived';
 
-/** Regression seeds of the soak of gates with agents: two gates, 25 s of load. */
+/**
+ * Regression seeds of the soak of gates with agents: two gates, 25 s of load.
+ */
 export const CLUSTER_REGRESSION_SEEDS: readonly RegressionSeed[] = [
   {seed: 2, cause: REQUEST_UNREAD_AT_STOP},
   {seed: 4, cause: REQUEST_UNREAD_AT_STOP},
--- a/packages/nutmeggauge/src/soak/run-soaks.ts
+++ b/packages/nutmeggauge/src/soak/run-soaks.ts
@@ -27,11 +27,11 @@
 export async function runSoaks(series: SoakSeries): Promise<boolean> {
   if (series.seeds <= 1) return printResult(await runSeed(series));
   let isPassed = true;
-  let next = series.seed;
-  const end = series.seed + series.seeds;
+  let nextSeed = series.seed;
+  const endSeed = series.seed + series.seeds;
   const runWorker = async () => {
-    while (next < end) {
-      const isSeedPassed = await runSeedInChild(series, next++);
+    while (nextSeed < endSeed) {
+      const isSeedPassed = await runSeedInChild(series, nextSeed++);
       isPassed = isPassed && isSeedPassed;
     }
   };
--- a/packages/nutmeggauge/src/soak/schedule.ts
+++ b/packages/nutmeggauge/src/soak/schedule.ts
@@ -52,7 +52,10 @@
   readonly action: FaultAction;
 }
 
-/** Size of the system, length of the load and number of special faults. */
+/**
+ * Size of the system, length of the load, and numbers of restores and gate
+ * stops.
+ */
 export interface SoakSizes {
   readonly gates: number;
   readonly targets: number;
@@ -70,15 +73,19 @@
 /** Mean time between the starts of two faults, in ms. */
 const MEAN_FAULT_INTERVAL_MS = 450;
 
-/** Duration of the shortest and longest fault, in ms: below and above every timeout. */
+/** Duration of the shortest fault, in ms: below every timeout. */
 const MIN_FAULT_MS = 100;
+
+/** Duration of the longest fault, in ms: above every timeout. */
 const MAX_FAULT_MS = 3500;
 
-/** Age of the newest and oldest copy that the store is restored from, in ms. */
+/** Age of the newest copy that the store is restored from, in ms. */
 const MIN_COPY_AGE_MS = 300;
+
+/** Age of the oldest copy that the store is restored from, in ms. */
 const MAX_COPY_AGE_MS = 6000;
 
-/** Time until every write that a restored copy lacks is repeated, in ms. */
+/** Time in which every write that a restored copy lacks is repeated, in ms. */
 const RESTORE_RECOVERY_MS = 2500;
 
 /** Longest suspension around a stop, in ms: above the callers' idle timeout. */
@@ -87,8 +94,16 @@
 /** Longest time for which a stopping gate still serves requests, in ms. */
 const GRACEFUL_STOP_MS = 3000;
 
-/** Added to a seed, so that restores and gate stops leave its other faults unchanged. */
+/**
+ * Added to a seed, so that restores leave the other faults of the seed
+ * unchanged.
+ */
 const RESTORE_SEED_OFFSET = 0x5eed;
+
+/**
+ * Added to a seed, so that gate stops leave the other faults of the seed
+ * unchanged.
+ */
 const GATE_STOP_SEED_OFFSET = 0x570b;
 
 const STORE_MODES: readonly StoreMode[] = ['busy', 'silent', 'reset'];
@@ -117,7 +132,7 @@
   sizes: SoakSizes,
 ): readonly ScheduledFault[] {
   const random = xoroshiro128plus(seed);
-  const draw = (most: number) => uniformInt(random, 0, most - 1);
+  const draw = (limit: number) => uniformInt(random, 0, limit - 1);
   const pick = <T>(list: readonly T[]) => list[draw(list.length)];
   const gate = () => draw(sizes.gates);
   const target = () => draw(sizes.targets);
@@ -164,7 +179,7 @@
   end: number,
 ): readonly ScheduledFault[] {
   const random = xoroshiro128plus(seed + GATE_STOP_SEED_OFFSET);
-  const draw = (most: number) => uniformInt(random, 0, most - 1);
+  const draw = (limit: number) => uniformInt(random, 0, limit - 1);
   const kinds = [
     'gate-drain',
     'gate-drain',
@@ -175,7 +190,8 @@
     const gate = draw(gates);
     const kind = kinds[draw(kinds.length)];
     const stopAt = draw(end);
-    // Half of the suspensions begin while the gate stops, the other half before.
+    // Half of the suspensions begin while the gate stops, the other half
+    // before.
     const shiftMs =
       draw(2) === 0 ? draw(GRACEFUL_STOP_MS) : -draw(MAX_SUSPENSION_MS);
     const atMs = Math.min(end, Math.max(0, stopAt + shiftMs));
@@ -194,7 +210,7 @@
   end: number,
 ): readonly ScheduledFault[] {
   const random = xoroshiro128plus(seed + RESTORE_SEED_OFFSET);
-  const draw = (least: number, most: number) => uniformInt(random, least, most);
+  const draw = (min: number, max: number) => uniformInt(random, min, max);
   return Array.from({length: count}, () => {
     const atMs = draw(0, end - 1);
     const ageMs = draw(MIN_COPY_AGE_MS, MAX_COPY_AGE_MS);
--- a/packages/nutmeggauge/src/soak/soak-harness.ts
+++ b/packages/nutmeggauge/src/soak/soak-harness.ts
@@ -29,13 +29,16 @@
 /** Time until the store entry of a killed target expires, in ms. */
 const ENTRY_EXPIRY_MS = 1500;
 
-/** Store outage before the store is restored from an older copy, in ms. */
+/**
+ * Duration of the outage before the store is restored from an older copy, in
+ * ms.
+ */
 const RESTORE_OUTAGE_MS = 300;
 
 /** Time for which a draining target still serves requests, in ms. */
 const DRAIN_MS = 3500;
 
-/** Current target at one index; a replacement takes the same index. */
+/** Current target at one index; a replacement target takes the same index. */
 interface TargetSlot {
   standin: TargetStandin;
   link: FaultyLink;
@@ -122,7 +125,9 @@
     await Promise.all(this.gates.map(gate => gate.process.sampleMemory()));
   }
 
-  /** Lists KV cache reservations held at any target, replaced ones included. */
+  /**
+   * Lists KV cache reservations held at any target, including replaced targets.
+   */
   listHeldReservations(): readonly string[] {
     return [
       ...this.slots.map(({standin}) => standin),
--- a/packages/nutmeggauge/src/soak/soak.ts
+++ b/packages/nutmeggauge/src/soak/soak.ts
@@ -14,21 +14,31 @@
 import type {CallerRecord, InjectedFault, SoakHistory} from './history.js';
 import type {ScheduledFault} from './schedule.js';
 
-/** Number of callers, and the time between two requests of each, in ms. */
-const CALLERS = 12;
+/** Number of concurrent callers. */
+const CALLER_COUNT = 12;
+
+/** Time between two requests of one caller, in ms. */
 const REQUEST_INTERVAL_MS = 200;
 
 /** Time for the gates to start before the load begins, in ms. */
 const GATE_START_MS = 1500;
 
-/** Wait between the last request and the count of held reservations, in ms: above every KV lease. */
+/**
+ * Wait between the last request and the count of held reservations, in ms:
+ * above every KV lease.
+ */
 const RESERVATION_SETTLE_MS = 4500;
 
 /** Interval between two memory samples, in ms. */
 const MEMORY_SAMPLE_INTERVAL_MS = 1000;
 
-/** Idle timeout of the gates' connections, in ms; the short one is below a suspension. */
+/** Idle timeout of the gates' connections, in ms. */
 const IDLE_TIMEOUT_MS = 15_000;
+
+/**
+ * Idle timeout in runs with gate stops, in ms: shorter than a suspension of a
+ * gate.
+ */
 const SHORT_IDLE_TIMEOUT_MS = 2000;
 
 /** Options of a soak run. */
@@ -103,7 +113,7 @@
     ),
   );
   const records = await Promise.all(
-    Array.from({length: CALLERS}, (_, i) =>
+    Array.from({length: CALLER_COUNT}, (_, i) =>
       runCaller(harness, i, endsAt, new Caller(`c${i}`, idleTimeoutMs)),
     ),
   );
@@ -137,7 +147,9 @@
   return {action: fault.action, beganAt, endedAt: performance.now()};
 }
 
-/** Sends one caller's requests at a constant rate, without waiting for answers. */
+/**
+ * Sends one caller's requests at a constant rate, without waiting for answers.
+ */
 async function runCaller(
   harness: SoakHarness,
   index: number,
@@ -147,10 +159,10 @@
   const calls: Array<Promise<CallerRecord>> = [];
   const {endpoints} = harness;
   while (performance.now() < endsAt) {
-    const number = index + calls.length;
+    const requestIndex = index + calls.length;
     calls.push(
       caller.call(
-        endpoints[number % endpoints.length],
+        endpoints[requestIndex % endpoints.length],
         STANDIN_KINDS[calls.length % STANDIN_KINDS.length],
         harness.key,
       ),
