--- a/packages/nutmeggauge/src/cluster/launch-plan.ts
+++ b/packages/nutmeggauge/src/cluster/launch-plan.ts
@@ -58,7 +58,7 @@
  * agent) and three for each gate (callers, relay and administration).
  *
  * @example
- * planLaunches(spec, await findFreePorts(2 + targetCount * 2 + spec.gates * 3)).launches;
+ * planLaunches(spec, await findFreePorts(2 + targets * 2 + spec.gates * 3)).launches;
  */
 export function planLaunches(
   spec: ClusterSpec,
@@ -68,17 +68,14 @@
   const host = readHost(spec);
   const configUrl = `http://${host}:${configPort}`;
   const hostListUrl = `http://${host}:${hostsPort}`;
-  const targetCount = spec.engines + spec.plainServices;
-  const targets = Array.from({length: targetCount}, (_, i) =>
+  const count = spec.engines + spec.plainServices;
+  const targets = Array.from({length: count}, (_, i) =>
     planTarget(spec, i, otherPorts.slice(i * 2, i * 2 + 2)),
   );
-  const gatePorts = otherPorts.slice(
-    targetCount * 2,
-    targetCount * 2 + spec.gates,
-  );
-  const internalPorts = otherPorts.slice(targetCount * 2 + spec.gates);
-  const relayPorts = internalPorts.slice(0, spec.gates);
-  const adminPorts = internalPorts.slice(spec.gates);
+  const gatePorts = otherPorts.slice(count * 2, count * 2 + spec.gates);
+  const internal = otherPorts.slice(count * 2 + spec.gates);
+  const relayPorts = internal.slice(0, spec.gates);
+  const adminPorts = internal.slice(spec.gates);
   return {
     configUrl,
     targets,
--- a/packages/nutmeggauge/src/cluster/local-cluster.ts
+++ b/packages/nutmeggauge/src/cluster/local-cluster.ts
@@ -201,9 +201,9 @@
   spec: ClusterSpec,
 ): Promise<LocalCluster> {
   mkdirSync(spec.runDir, {recursive: true});
-  const targetCount = spec.engines + spec.plainServices;
+  const targets = spec.engines + spec.plainServices;
   const ports = await findFreePorts(
-    2 + targetCount * 2 + spec.gates * 3,
+    2 + targets * 2 + spec.gates * 3,
     spec.host,
   );
   const cluster = new LocalCluster(spec, planLaunches(spec, ports));
--- a/packages/nutmeggauge/src/defaults.ts
+++ b/packages/nutmeggauge/src/defaults.ts
@@ -75,9 +75,7 @@
   sharedPrefixShare: 0.5,
   maxNewTokens: 32,
   keys: listKeys(DEMO_ACCOUNTS),
-  orderKeys: listKeys(
-    DEMO_ACCOUNTS.filter(account => account.pools.includes('orders')),
-  ),
+  orderKeys: listKeys(DEMO_ACCOUNTS.filter(a => a.pools.includes('orders'))),
   orders: 8,
   repeatedOrders: 3,
 };
--- a/packages/nutmeggauge/src/demo.ts
+++ b/packages/nutmeggauge/src/demo.ts
@@ -54,8 +54,8 @@
   try {
     await cluster.publish(buildDemoRecord(cluster.targets));
     await cluster.waitUntilReady();
-    const baseWorkload = options.faults ? FAULT_WORKLOAD : DEMO_WORKLOAD;
-    const workload = {...baseWorkload, seed: options.seed};
+    const base = options.faults ? FAULT_WORKLOAD : DEMO_WORKLOAD;
+    const workload = {...base, seed: options.seed};
     const plan = planWorkload(workload);
     print(
       `sending ${plan.length} requests (${workload.requests} completions, ${workload.orders} orders, ${workload.repeatedOrders} repeated)`,
--- a/packages/nutmeggauge/src/e2e/api.test.ts
+++ b/packages/nutmeggauge/src/e2e/api.test.ts
@@ -92,7 +92,7 @@
   it('answers a body above the size limit with status 413 without executing the call', async () => {
     // Guards against a connection reset instead of an answer, and against a
     // call that is executed without its arguments.
-    const executionsBefore = stack.plain[0].executions.length;
+    const before = stack.plain[0].executions.length;
     const res = await postJson(
       `${stack.gateUrl}/v1/services/orders/place-order`,
       {sku: 'x'.repeat(MAX_BODY_BYTES)},
@@ -100,12 +100,12 @@
     );
     expect(res.status).toEqual(413);
     expect(res.body.error.reason).toEqual('body_too_large');
-    expect(stack.plain[0].executions.length).toEqual(executionsBefore);
+    expect(stack.plain[0].executions.length).toEqual(before);
   });
 
   it('answers a body that is not JSON with status 400 without executing the call', async () => {
     // Guards against a call that is executed without its arguments.
-    const executionsBefore = stack.plain[0].executions.length;
+    const before = stack.plain[0].executions.length;
     const res = await request(
       `${stack.gateUrl}/v1/services/orders/place-order`,
       {
@@ -117,6 +117,6 @@
     const body = (await res.body.json()) as {error: {reason: string}};
     expect(res.statusCode).toEqual(400);
     expect(body.error.reason).toEqual('body_not_json');
-    expect(stack.plain[0].executions.length).toEqual(executionsBefore);
+    expect(stack.plain[0].executions.length).toEqual(before);
   });
 });
--- a/packages/nutmeggauge/src/e2e/at-most-once.test.ts
+++ b/packages/nutmeggauge/src/e2e/at-most-once.test.ts
@@ -68,7 +68,7 @@
   it('fails with outcome_unknown and is not submitted to another engine', async () => {
     // Guards against executing a non-repeatable request twice after its engine
     // has died.
-    const submittedBefore = countSubmitted(stack);
+    const before = countSubmitted(stack);
     const pending = postJson(
       `${stack.gateUrl}/v1/completions`,
       {model: 'chat', prompt: 'o'.repeat(4000), max_tokens: 150},
@@ -78,7 +78,7 @@
     const res = await pending;
     expect(res.status).toEqual(502);
     expect(res.body.error.type).toEqual('outcome_unknown');
-    expect(countSubmitted(stack) - submittedBefore).toEqual(1);
+    expect(countSubmitted(stack) - before).toEqual(1);
   });
 });
 
--- a/packages/nutmeggauge/src/e2e/config-faults.test.ts
+++ b/packages/nutmeggauge/src/e2e/config-faults.test.ts
@@ -47,12 +47,12 @@
 
   it('keeps the newest record when a stale replica of the service serves an older one', async () => {
     // Guards against a lagging replica whose old record removes a new API key.
-    const baseRecord = stripVersion(stack.record);
+    const base = stripVersion(stack.record);
     const accounts = [
-      ...(baseRecord.accounts as object[]),
+      ...(base.accounts as object[]),
       {id: 'acct-new', keys: ['new-key-0003'], pools: ['chat']},
     ];
-    const newVersion = stack.config.publish({...baseRecord, accounts});
+    const newVersion = stack.config.publish({...base, accounts});
     await waitUntil(
       async () => (await readConfigVersion(stack)) === newVersion,
     );
--- a/packages/nutmeggauge/src/e2e/drain.test.ts
+++ b/packages/nutmeggauge/src/e2e/drain.test.ts
@@ -13,7 +13,7 @@
 import type {Stack} from '../test/stack.js';
 
 const auth = {authorization: `Bearer ${TEST_KEY}`};
-const longCompletion = {
+const long = {
   model: 'chat',
   prompt: 'd'.repeat(4000),
   max_tokens: 100,
@@ -31,26 +31,19 @@
   it('receives no new requests and completes the stream in flight', async () => {
     // Guards against cutting a stream when its engine is replaced.
     let drained: Promise<void> | undefined;
-    let busyIndex = -1;
-    const streaming = streamCompletion(
-      stack.gateUrl,
-      longCompletion,
-      auth,
-      count => {
-        if (count !== 3) return;
-        busyIndex = stack.engines.findIndex(
-          e => e.scheduler.readLoad().running > 0,
-        );
-        drained = stack.agents[busyIndex].drain();
-      },
-    );
-    await waitUntil(() => busyIndex >= 0);
+    let busy = -1;
+    const streaming = streamCompletion(stack.gateUrl, long, auth, count => {
+      if (count !== 3) return;
+      busy = stack.engines.findIndex(e => e.scheduler.readLoad().running > 0);
+      drained = stack.agents[busy].drain();
+    });
+    await waitUntil(() => busy >= 0);
     await waitUntil(
       async () =>
-        (await readTargetUsability(stack))[`engine-${busyIndex + 1}`] === false,
+        (await readTargetUsability(stack))[`engine-${busy + 1}`] === false,
     );
-    const submittedBefore = stack.engines[busyIndex].scheduler.submitted;
-    const shortResponses = await Promise.all(
+    const submittedBefore = stack.engines[busy].scheduler.submitted;
+    const short = await Promise.all(
       [1, 2, 3, 4].map(() =>
         postJson(
           `${stack.gateUrl}/v1/completions`,
@@ -61,10 +54,8 @@
     );
     const result = await streaming;
     await drained;
-    expect(shortResponses.map(r => r.status)).toEqual([200, 200, 200, 200]);
-    expect(stack.engines[busyIndex].scheduler.submitted).toEqual(
-      submittedBefore,
-    );
+    expect(short.map(r => r.status)).toEqual([200, 200, 200, 200]);
+    expect(stack.engines[busy].scheduler.submitted).toEqual(submittedBefore);
     expect(result.text).toEqual(renderCompleteAnswer(100));
   });
 });
@@ -113,14 +104,9 @@
   it('completes the stream in flight before the gate stops', async () => {
     // Guards against cutting a stream when its gate is replaced.
     let drained: Promise<void> | undefined;
-    const result = await streamCompletion(
-      stack.gateUrl,
-      longCompletion,
-      auth,
-      count => {
-        if (count === 3) drained = stack.gate.drain();
-      },
-    );
+    const result = await streamCompletion(stack.gateUrl, long, auth, count => {
+      if (count === 3) drained = stack.gate.drain();
+    });
     await drained;
     expect(result.done).toEqual(true);
     expect(result.text).toEqual(renderCompleteAnswer(100));
--- a/packages/nutmeggauge/src/e2e/streams.test.ts
+++ b/packages/nutmeggauge/src/e2e/streams.test.ts
@@ -20,7 +20,7 @@
 
 /** Streams an answer and kills its engine after the fifth chunk. */
 async function streamAndKillEngine(stack: Stack) {
-  let busyIndex = -1;
+  let busy = -1;
   let killed: Promise<void> | undefined;
   const result = await streamCompletion(
     stack.gateUrl,
@@ -28,14 +28,12 @@
     TEST_AUTH,
     count => {
       if (count !== 5) return;
-      busyIndex = stack.engines.findIndex(
-        e => e.scheduler.readLoad().running > 0,
-      );
-      killed = stack.engines[busyIndex].close();
+      busy = stack.engines.findIndex(e => e.scheduler.readLoad().running > 0);
+      killed = stack.engines[busy].close();
     },
   );
   await killed;
-  return {result, letter: TOKEN_LETTERS[busyIndex]};
+  return {result, letter: TOKEN_LETTERS[busy]};
 }
 
 describe('stream whose engine dies in a resumable pool', () => {
--- a/packages/nutmeggauge/src/faults/random-faults.ts
+++ b/packages/nutmeggauge/src/faults/random-faults.ts
@@ -47,7 +47,7 @@
 ): readonly Fault[] {
   const {gates, backends, lengthMs} = options;
   const random = xoroshiro128plus(options.seed);
-  const draw = (limit: number) => uniformInt(random, 0, limit - 1);
+  const draw = (most: number) => uniformInt(random, 0, most - 1);
   const pick = <T>(list: readonly T[]) => list[draw(list.length)];
   const faultFactories: ReadonlyArray<() => Pick<Fault, 'kind' | 'process'>> = [
     // Listed three times, so that suspended gates are the most frequent fault.
--- a/packages/nutmeggauge/src/losses/client-attempts.ts
+++ b/packages/nutmeggauge/src/losses/client-attempts.ts
@@ -92,16 +92,16 @@
 const MAX_TOKENS = 1e9;
 
 /**
- * Reads a number from 0 to `max` from a field; returns undefined if the value
+ * Reads a number from 0 to `most` from a field; returns undefined if the value
  * is invalid.
  */
 function readNumber(
   line: TimelineEvent,
   field: string,
-  max: number,
+  most: number,
 ): number | undefined {
   const value = line[field];
-  const isValid = typeof value === 'number' && value >= 0 && value <= max;
+  const isValid = typeof value === 'number' && value >= 0 && value <= most;
   return isValid ? value : undefined;
 }
 
@@ -238,16 +238,16 @@
   gateIncarnation: GateIncarnation,
   span: LogSpan,
 ): readonly ClientAttempt[] {
-  const openAttempts = new Map<string, TimelineEvent[]>();
+  const open = new Map<string, TimelineEvent[]>();
   const attempts: ClientAttempt[] = [];
   for (const line of gateIncarnation.lines) {
     if (!ATTEMPT_EVENTS.has(line.event)) continue;
     const id = readString(line, 'requestId');
-    const lines = [...(openAttempts.get(id ?? '') ?? []), line];
+    const lines = [...(open.get(id ?? '') ?? []), line];
     const isEnd =
       line.event === 'request_ended' || line.event === 'request_refused';
     if (isEnd) {
-      openAttempts.delete(id ?? '');
+      open.delete(id ?? '');
       attempts.push(
         buildAttempt(
           gateIncarnation,
@@ -256,9 +256,9 @@
           span,
         ),
       );
-    } else if (id !== undefined) openAttempts.set(id, lines);
+    } else if (id !== undefined) open.set(id, lines);
   }
-  for (const lines of openAttempts.values())
+  for (const lines of open.values())
     attempts.push(buildAttempt(gateIncarnation, lines, undefined, span));
   return attempts;
 }
--- a/packages/nutmeggauge/src/losses/engine-activity.ts
+++ b/packages/nutmeggauge/src/losses/engine-activity.ts
@@ -106,9 +106,9 @@
     .flatMap(({attempt}) => listSpans(attempt, attempt === request.attempt))
     .filter(span => span.to >= from && span.from <= to);
   const selectedSpans = spans.filter(({isSelected}) => isSelected);
-  const sortedEngines = spans.map(({engine}) => engine).sort();
+  const others = spans.map(({engine}) => engine).sort();
   const engines = [
-    ...new Set([...selectedSpans.map(({engine}) => engine), ...sortedEngines]),
+    ...new Set([...selectedSpans.map(({engine}) => engine), ...others]),
   ];
   return {request, from, to, engines, spans};
 }
--- a/packages/nutmeggauge/src/losses/gate-gaps.ts
+++ b/packages/nutmeggauge/src/losses/gate-gaps.ts
@@ -87,24 +87,20 @@
   rate: number,
 ): readonly GateGap[] {
   const gaps: GateGap[] = [];
-  let previous: GateIncarnation | undefined;
+  let before: GateIncarnation | undefined;
   for (const gateIncarnation of incarnations) {
     // An incarnation that failed to start does not end the gap.
-    if (previous !== undefined && gateIncarnation.servesFrom === undefined)
+    if (before !== undefined && gateIncarnation.servesFrom === undefined)
       continue;
-    if (previous !== undefined && gateIncarnation.servesFrom !== undefined)
-      gaps.push(buildGap(previous, gateIncarnation.servesFrom, rate));
-    previous = gateIncarnation;
+    if (before !== undefined && gateIncarnation.servesFrom !== undefined)
+      gaps.push(buildGap(before, gateIncarnation.servesFrom, rate));
+    before = gateIncarnation;
   }
   return gaps;
 }
 
-function buildGap(
-  previous: GateIncarnation,
-  to: number,
-  rate: number,
-): GateGap {
-  const {proc, hasDrained, lines} = previous;
+function buildGap(before: GateIncarnation, to: number, rate: number): GateGap {
+  const {proc, hasDrained, lines} = before;
   const from = lines[lines.length - 1].t;
   const ms = Math.max(0, to - from);
   return {proc, from, to, ms, hasDrained, estimatedWorth: ms * rate};
--- a/packages/nutmeggauge/src/losses/gate-incarnations.ts
+++ b/packages/nutmeggauge/src/losses/gate-incarnations.ts
@@ -103,8 +103,8 @@
 
   private begin(proc: string): IncarnationBuilder {
     const previousBuilders = this.buildersByProc.get(proc) ?? [];
-    const previous = previousBuilders.at(-1);
-    if (previous !== undefined) previous.hasSuccessor = true;
+    const before = previousBuilders.at(-1);
+    if (before !== undefined) before.hasSuccessor = true;
     const builder = new IncarnationBuilder(proc);
     this.buildersByProc.set(proc, [...previousBuilders, builder]);
     return builder;
--- a/packages/nutmeggauge/src/losses/judge-request.test.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.test.ts
@@ -150,13 +150,13 @@
       buildLogLine(900, 'gate_started'),
       buildStreamPlacedLine(950, 'open'),
     ]);
-    const summaries = requests.map(({requestId, cause, kind, isOpen}) => [
+    const short = requests.map(({requestId, cause, kind, isOpen}) => [
       requestId,
       cause,
       kind,
       isOpen,
     ]);
-    expect(summaries).toEqual([
+    expect(short).toEqual([
       ['placed', 'gate-ended', 'stream', false],
       ['kept', 'gate-ended', 'stream', false],
       ['open', undefined, 'stream', true],
@@ -182,15 +182,15 @@
 
   it('assigns gate-ended to a request in progress at a gate that stops logging for good', () => {
     // Guards against missing a request that was lost with the host of its gate.
-    const placedLine = buildStreamPlacedLine(10, 'held');
+    const held = buildStreamPlacedLine(10, 'held');
     const buildLaterEnd = (ms: number) => ({
       ...buildRequestEndedLine(ms, 'other'),
       proc: 'g2',
     });
-    expect(judgeLog([placedLine, buildLaterEnd(11_000)])[0].cause).toEqual(
+    expect(judgeLog([held, buildLaterEnd(11_000)])[0].cause).toEqual(
       'gate-ended',
     );
-    expect(judgeLog([placedLine, buildLaterEnd(9000)])[0].isOpen).toEqual(true);
+    expect(judgeLog([held, buildLaterEnd(9000)])[0].isOpen).toEqual(true);
   });
 
   it('reports no forecast when the clock was set back during the request', () => {
--- a/packages/nutmeggauge/src/losses/losses.test.ts
+++ b/packages/nutmeggauge/src/losses/losses.test.ts
@@ -159,8 +159,8 @@
     // middle of a line.
     const text = LOG_LINES.map(line => JSON.stringify(line)).join('\n');
     const {html} = createOutputPaths();
-    for (let cutIndex = 0; cutIndex <= text.length; cutIndex += 7) {
-      for (const part of [text.slice(0, cutIndex), text.slice(cutIndex)]) {
+    for (let at = 0; at <= text.length; at += 7) {
+      for (const part of [text.slice(0, at), text.slice(at)]) {
         const paths = [writeTestFile('cut.log', part)];
         runIgnoringCommandErrors(() => runLosses({paths, html}));
       }
--- a/packages/nutmeggauge/src/losses/summarize-windows.ts
+++ b/packages/nutmeggauge/src/losses/summarize-windows.ts
@@ -25,8 +25,8 @@
   members: readonly JudgedRequest[],
 ): LossWindow {
   const byCause = sumByCause(members);
-  const mainCause = CAUSES.reduce((largest, cause) =>
-    byCause[cause].worth > byCause[largest].worth ? cause : largest,
+  const mainCause = CAUSES.reduce((most, cause) =>
+    byCause[cause].worth > byCause[most].worth ? cause : most,
   );
   return {
     from,
--- a/packages/nutmeggauge/src/soak/check.test.ts
+++ b/packages/nutmeggauge/src/soak/check.test.ts
@@ -50,9 +50,9 @@
   return violations.map(({promise}) => promise);
 }
 
-function buildStream(eventCount: number): string {
+function buildStream(events: number): string {
   let text = '';
-  for (let eventNumber = 1; eventNumber <= eventCount; eventNumber++)
+  for (let eventNumber = 1; eventNumber <= events; eventNumber++)
     text += buildEvent('q1', eventNumber);
   return text;
 }
@@ -70,16 +70,13 @@
   });
 
   it('reports an unanswered request unless its gate was down or had received SIGTERM early enough', () => {
-    const unansweredRecord = {
+    const lost = {
       ...SERVED_RECORD,
       status: undefined,
       body: '',
       isWhole: false,
     };
-    const records = [
-      unansweredRecord,
-      ...Array<CallerRecord>(9).fill(SERVED_RECORD),
-    ];
+    const records = [lost, ...Array<CallerRecord>(9).fill(SERVED_RECORD)];
     const outage = {node: 'gate-0', isStop: false, from: 9000, to: 10_010};
     const stop = (beganAt: number): InjectedFault => ({
       action: {kind: 'gate-drain', gate: 0},
@@ -127,12 +124,12 @@
   });
 
   it('reports a truncated stream that ended normally but not one whose connection broke', () => {
-    const truncatedRecord = {...STREAM_RECORD, body: buildStream(3)};
-    expect(listViolatedInvariants({records: [truncatedRecord]})).toEqual([
+    const short = {...STREAM_RECORD, body: buildStream(3)};
+    expect(listViolatedInvariants({records: [short]})).toEqual([
       'whole-answer',
     ]);
     expect(
-      listViolatedInvariants({records: [{...truncatedRecord, isWhole: false}]}),
+      listViolatedInvariants({records: [{...short, isWhole: false}]}),
     ).toEqual([]);
   });
 
--- a/packages/nutmeggauge/src/soak/check.ts
+++ b/packages/nutmeggauge/src/soak/check.ts
@@ -207,13 +207,12 @@
   private checkDrain(record: CallerRecord): readonly Violation[] {
     const {requestId, gate} = record;
     for (const run of this.runs.get(requestId) ?? []) {
-      const drainFact = this.history.published.find(
+      const left = this.history.published.find(
         fact => fact.kind === 'target-draining' && fact.id === run.target,
       );
-      if (drainFact === undefined || run.at < drainFact.at + PROPAGATION_MS)
-        continue;
+      if (left === undefined || run.at < left.at + PROPAGATION_MS) continue;
       if (!this.isInContact(gate, run.at)) continue;
-      const lateMs = Math.round(run.at - drainFact.at);
+      const lateMs = Math.round(run.at - left.at);
       return [{promise: 'drain', requestId, detail: `${lateMs} ms after`}];
     }
     return [];
--- a/packages/nutmeggauge/src/soak/cluster-soak.ts
+++ b/packages/nutmeggauge/src/soak/cluster-soak.ts
@@ -147,11 +147,11 @@
   const random = xoroshiro128plus(seed);
   const plan: PlannedRequest[] = [];
   let startMs = 0;
-  for (let burstIndex = 0; startMs < lengthMs; burstIndex++) {
+  for (let burst = 0; startMs < lengthMs; burst++) {
     const requests = uniformInt(random, 2, MAX_BURST_REQUESTS);
     const spec: WorkloadSpec = {
       ...FAULT_WORKLOAD,
-      seed: seed + burstIndex,
+      seed: seed + burst,
       requests,
       ratePerSecond: BURST_RATE,
       orders: Math.ceil(requests / 4),
@@ -163,7 +163,7 @@
       index: firstIndex + request.index,
       atMs: startMs + request.atMs,
       ...('orderName' in request
-        ? {orderName: `${burstIndex}-${request.orderName}`}
+        ? {orderName: `${burst}-${request.orderName}`}
         : {}),
     }));
     plan.push(...planned);
--- a/packages/nutmeggauge/src/soak/schedule.ts
+++ b/packages/nutmeggauge/src/soak/schedule.ts
@@ -132,7 +132,7 @@
   sizes: SoakSizes,
 ): readonly ScheduledFault[] {
   const random = xoroshiro128plus(seed);
-  const draw = (limit: number) => uniformInt(random, 0, limit - 1);
+  const draw = (most: number) => uniformInt(random, 0, most - 1);
   const pick = <T>(list: readonly T[]) => list[draw(list.length)];
   const gate = () => draw(sizes.gates);
   const target = () => draw(sizes.targets);
@@ -179,7 +179,7 @@
   end: number,
 ): readonly ScheduledFault[] {
   const random = xoroshiro128plus(seed + GATE_STOP_SEED_OFFSET);
-  const draw = (limit: number) => uniformInt(random, 0, limit - 1);
+  const draw = (most: number) => uniformInt(random, 0, most - 1);
   const kinds = [
     'gate-drain',
     'gate-drain',
@@ -210,7 +210,7 @@
   end: number,
 ): readonly ScheduledFault[] {
   const random = xoroshiro128plus(seed + RESTORE_SEED_OFFSET);
-  const draw = (min: number, max: number) => uniformInt(random, min, max);
+  const draw = (least: number, most: number) => uniformInt(random, least, most);
   return Array.from({length: count}, () => {
     const atMs = draw(0, end - 1);
     const ageMs = draw(MIN_COPY_AGE_MS, MAX_COPY_AGE_MS);
--- a/packages/nutmeggauge/src/spec/import-cycles.test.ts
+++ b/packages/nutmeggauge/src/spec/import-cycles.test.ts
@@ -28,16 +28,16 @@
 function findCycle(
   imports: ReadonlyMap<string, readonly string[]>,
 ): readonly string[] {
-  const visitedFiles = new Set<string>();
+  const done = new Set<string>();
   const visit = (file: string, chain: readonly string[]): readonly string[] => {
-    const cycleStart = chain.indexOf(file);
-    if (cycleStart >= 0) return [...chain.slice(cycleStart), file];
-    if (visitedFiles.has(file)) return [];
+    const at = chain.indexOf(file);
+    if (at >= 0) return [...chain.slice(at), file];
+    if (done.has(file)) return [];
     for (const importedFile of imports.get(file) ?? []) {
       const cycle = visit(importedFile, [...chain, file]);
       if (cycle.length > 0) return cycle;
     }
-    visitedFiles.add(file);
+    done.add(file);
     return [];
   };
   for (const file of imports.keys()) {
--- a/packages/nutmeggauge/src/spec/model-check.test.ts
+++ b/packages/nutmeggauge/src/spec/model-check.test.ts
@@ -32,10 +32,10 @@
     cwd: dir,
   });
   const fairnessFlags = isFair ? ['-f'] : [];
-  const panFlags = ltl === undefined ? [] : ['-a', ...fairnessFlags, '-N', ltl];
+  const run = ltl === undefined ? [] : ['-a', ...fairnessFlags, '-N', ltl];
   let report: string;
   try {
-    report = execFileSync('./pan', ['-m100000', ...panFlags], {
+    report = execFileSync('./pan', ['-m100000', ...run], {
       cwd: dir,
       encoding: 'utf8',
     });
--- a/packages/nutmeggauge/src/test/protocol-harness.ts
+++ b/packages/nutmeggauge/src/test/protocol-harness.ts
@@ -116,7 +116,7 @@
   private incarnationController = new AbortController();
   private target!: HarnessTarget;
   private ownership!: KeyOwnership;
-  private thawCallbacks: Array<() => void> = [];
+  private waiting: Array<() => void> = [];
   private record: VersionedTargets;
 
   constructor(
@@ -138,7 +138,7 @@
     this.incarnationController.abort();
     this.incarnationController = new AbortController();
     this.isFrozen = false;
-    this.thawCallbacks = [];
+    this.waiting = [];
     this.record = record;
     this.startIncarnation(Date.now() + CLOCK_SKEW_MS);
   }
@@ -151,13 +151,13 @@
 
   thaw(): void {
     this.isFrozen = false;
-    for (const wake of this.thawCallbacks.splice(0)) wake();
+    for (const wake of this.waiting.splice(0)) wake();
   }
 
   /** Resolves once the host is not frozen any more. */
   async waitUntilThawed(): Promise<void> {
     if (!this.isFrozen) return;
-    await new Promise<void>(resolve => this.thawCallbacks.push(resolve));
+    await new Promise<void>(resolve => this.waiting.push(resolve));
   }
 
   async receive(
