--- a/packages/nutmeggauge/src/cluster/cluster-spec.ts
+++ b/packages/nutmeggauge/src/cluster/cluster-spec.ts
@@ -13,7 +13,7 @@
   readonly engines: number;
   /** Number of plain service stand-ins; each gets its own agent. */
   readonly plainServices: number;
-  /** Number of gates. */
+  /** Number of gates; each listens on three ports. */
   readonly gates: number;
   /**
    * Availability zones that targets and gates are assigned to in turn.
--- a/packages/nutmeggauge/src/faults/random-faults.ts
+++ b/packages/nutmeggauge/src/faults/random-faults.ts
@@ -30,10 +30,10 @@
  */
 const MAX_GATE_PAUSE_MS = 7500;
 
-/** Longest fault other than the suspension of a gate, in ms. */
+/** Longest duration of a fault other than the suspension of a gate, in ms. */
 const MAX_FAULT_MS = 3000;
 
-/** Shortest fault, in ms. */
+/** Shortest duration of a fault, in ms. */
 const MIN_FAULT_MS = 20;
 
 /**
--- a/packages/nutmeggauge/src/losses/client-attempts.ts
+++ b/packages/nutmeggauge/src/losses/client-attempts.ts
@@ -26,7 +26,7 @@
    * before routing, the reason.
    */
   readonly outcome: string;
-  /** The gate refused the request before it chose a route. */
+  /** Whether the gate refused the request before the gate chose a route. */
   readonly isRefusedBeforeRouting: boolean;
   readonly status: number | undefined;
   readonly route: string | undefined;
@@ -62,8 +62,8 @@
    */
   readonly lastSeenAt: number;
   /**
-   * The gate process ended, or stopped logging for good, before the client
-   * attempt ended.
+   * Whether the gate process ended, or stopped logging for good, before the
+   * client attempt ended.
    */
   readonly isLostWithGate: boolean;
 }
--- a/packages/nutmeggauge/src/losses/engine-activity.ts
+++ b/packages/nutmeggauge/src/losses/engine-activity.ts
@@ -13,7 +13,7 @@
   /** Start of the span as wall-clock time of the gate, in ms. */
   readonly from: number;
   readonly to: number;
-  /** The span belongs to the selected prompt. */
+  /** Whether the span belongs to the selected prompt. */
   readonly isSelected: boolean;
 }
 
--- a/packages/nutmeggauge/src/losses/gate-gaps.ts
+++ b/packages/nutmeggauge/src/losses/gate-gaps.ts
@@ -15,8 +15,8 @@
   /** Length of the gap, in ms; 0 if the clock was set back. */
   readonly ms: number;
   /**
-   * The gate had finished its drain before the gap, so callers had been sent to
-   * other gates.
+   * Whether the gate had finished its drain before the gap, so that callers had
+   * been sent to other gates.
    */
   readonly hasDrained: boolean;
   /** Estimated worth of the requests that would have arrived in the gap. */
--- a/packages/nutmeggauge/src/losses/gate-incarnations.ts
+++ b/packages/nutmeggauge/src/losses/gate-incarnations.ts
@@ -17,9 +17,9 @@
    * the start failed.
    */
   readonly servesFrom: number | undefined;
-  /** The gate logged the end of its drain. */
+  /** Whether the gate logged the end of its drain. */
   readonly hasDrained: boolean;
-  /** Another incarnation of the same gate follows in the log. */
+  /** Whether another incarnation of the same gate follows in the log. */
   readonly hasSuccessor: boolean;
 }
 
@@ -30,11 +30,13 @@
 export interface GateLogs {
   readonly files: readonly string[];
   readonly incarnations: readonly GateIncarnation[];
-  /** Lines with a `{` but no complete JSON object. */
+  /** Number of lines with a `{` but no complete JSON object. */
   readonly malformedLines: number;
-  /** JSON lines that were not written by a gate. */
+  /** Number of JSON lines that were not written by a gate. */
   readonly foreignLines: number;
-  /** Lines left out because an earlier file contains them as well. */
+  /**
+   * Number of lines left out because an earlier file contains the same line.
+   */
   readonly repeatedLines: number;
   /** Number of log lines that gates reported as dropped. */
   readonly droppedLines: number;
--- a/packages/nutmeggauge/src/losses/judge-request.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.ts
@@ -53,11 +53,11 @@
   readonly cause: Cause | undefined;
   readonly lost: number;
   /**
-   * The end of the request is not in the logs, and the request was not lost
-   * with its gate process.
+   * Whether the end of the request is missing from the logs although the request
+   * was not lost with its gate process.
    */
   readonly isOpen: boolean;
-  /** The route of the request has a latency objective. */
+  /** Whether the route of the request has a latency objective. */
   readonly hasObjective: boolean;
   readonly forecast: TtftForecast | undefined;
   readonly attempt: ClientAttempt;
--- a/packages/nutmeggauge/src/losses/sourced-lines.ts
+++ b/packages/nutmeggauge/src/losses/sourced-lines.ts
@@ -25,11 +25,13 @@
 export interface SourcedLines {
   readonly files: readonly string[];
   readonly lines: readonly SourcedLine[];
-  /** Lines with a `{` but no complete JSON object. */
+  /** Number of lines with a `{` but no complete JSON object. */
   readonly malformedLines: number;
-  /** JSON lines of other programs. */
+  /** Number of JSON lines of other programs. */
   readonly foreignLines: number;
-  /** Lines left out because an earlier file contains them as well. */
+  /**
+   * Number of lines left out because an earlier file contains the same line.
+   */
   readonly repeatedLines: number;
 }
 
--- a/packages/nutmeggauge/src/losses/summarize-engines.ts
+++ b/packages/nutmeggauge/src/losses/summarize-engines.ts
@@ -5,21 +5,22 @@
 /** Late answers, lost worth and failed attempts of one engine. */
 export interface EngineLosses {
   readonly target: string;
-  /** Streams that the engine answered completely. */
+  /** Number of streams that the engine answered completely. */
   readonly answers: number;
   readonly late: number;
   /**
-   * Late answers whose first token was in time, but whose inter-token latency
-   * was above the objective.
+   * Number of late answers whose first token was in time, but whose inter-token
+   * latency was above the objective.
    */
   readonly lateItl: number;
   /** Worth lost by the engine's late answers. */
   readonly lost: number;
   /**
-   * Late answers of other engines whose prompts this engine helped to prefill.
+   * Number of late answers of other engines whose prompts this engine helped to
+   * prefill.
    */
   readonly helpedLate: number;
-  /** Attempts that failed at the engine. */
+  /** Number of attempts that failed at the engine. */
   readonly failedAttempts: number;
 }
 
--- a/packages/nutmeggauge/src/losses/summarize-kinds.ts
+++ b/packages/nutmeggauge/src/losses/summarize-kinds.ts
@@ -15,7 +15,7 @@
   readonly kind: string;
   readonly size: string;
   readonly requests: number;
-  /** Worth of all these requests. */
+  /** Total worth of the requests with this route, kind and prompt size. */
   readonly worth: number;
   readonly lost: number;
   readonly byCause: Readonly<Record<Cause, LossSum>>;
@@ -24,7 +24,10 @@
    * incarnations.
    */
   readonly estimatedNoGate: number;
-  /** The route has a latency objective, so late answers are detected. */
+  /**
+   * Whether the route has a latency objective, so that late answers are
+   * detected.
+   */
   readonly hasObjective: boolean;
 }
 
--- a/packages/nutmeggauge/src/losses/summarize-losses.ts
+++ b/packages/nutmeggauge/src/losses/summarize-losses.ts
@@ -22,11 +22,11 @@
   readonly files: readonly string[];
   readonly gates: number;
   readonly requests: number;
-  /** Requests whose end is not in the logs. */
+  /** Number of requests whose end is not in the logs. */
   readonly openRequests: number;
   /**
-   * Requests with a first token but no forecast, because of dropped lines or
-   * clock steps.
+   * Number of requests with a first token but no forecast, because of dropped
+   * lines or clock steps.
    */
   readonly withoutForecast: number;
   readonly malformedLines: number;
--- a/packages/nutmeggauge/src/soak/callers.ts
+++ b/packages/nutmeggauge/src/soak/callers.ts
@@ -39,7 +39,8 @@
 }
 
 /**
- * Sends requests to gates over its own keep-alive connections.
+ * A caller that sends requests to gates over keep-alive connections that no
+ * other caller uses.
  *
  * @example
  * const record = await new Caller('c1', 15_000).call(endpoint, 'safe', 'k1');
--- a/packages/nutmeggauge/src/soak/check.ts
+++ b/packages/nutmeggauge/src/soak/check.ts
@@ -29,7 +29,9 @@
 /** Time after the end of a fault until a gate counts as reconnected, in ms. */
 const RECONNECT_MS = 3000;
 
-/** Time until every gate must know of a drain or a revoked key, in ms. */
+/**
+ * Time until every gate must have applied a drain or a key revocation, in ms.
+ */
 const PROPAGATION_MS = 2000;
 
 /** Tolerance added to the time bound of an answer, in ms. */
--- a/packages/nutmeggauge/src/test/protocol-harness.ts
+++ b/packages/nutmeggauge/src/test/protocol-harness.ts
@@ -151,7 +151,7 @@
 
   thaw(): void {
     this.isFrozen = false;
-    for (const wake of this.waiting.splice(0)) wake();
+    for (const resolve of this.waiting.splice(0)) resolve();
   }
 
   /** Resolves once the host is not frozen any more. */
