--- a/packages/nutmeggauge/src/losses/judge-request.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.ts
@@ -53,8 +53,8 @@
   readonly cause: Cause | undefined;
   readonly lost: number;
   /**
-   * Whether the end of the request is missing from the logs although the request
-   * was not lost with its gate process.
+   * Whether the end of the request is missing from the logs although the
+   * request was not lost with its gate process.
    */
   readonly isOpen: boolean;
   /** Whether the route of the request has a latency objective. */
