--- a/packages/nutmeggauge/src/cluster/launch-plan.ts
+++ b/packages/nutmeggauge/src/cluster/launch-plan.ts
@@ -34,7 +34,7 @@
   readonly configUrl: string;
 }
 
-/** Host for clusters whose spec names none. */
+/** Loopback address of a cluster whose spec has no `host`. */
 const DEFAULT_HOST = '127.0.0.1';
 
 const DEFAULT_ZONES = ['az-1', 'az-2', 'az-3'];
@@ -64,16 +64,16 @@
   spec: ClusterSpec,
   ports: readonly number[],
 ): ClusterLayout {
-  const [configPort, hostsPort, ...rest] = ports;
+  const [configPort, hostsPort, ...otherPorts] = ports;
   const host = readHost(spec);
   const configUrl = `http://${host}:${configPort}`;
   const hostListUrl = `http://${host}:${hostsPort}`;
   const count = spec.engines + spec.plainServices;
   const targets = Array.from({length: count}, (_, i) =>
-    planTarget(spec, i, rest.slice(i * 2, i * 2 + 2)),
+    planTarget(spec, i, otherPorts.slice(i * 2, i * 2 + 2)),
   );
-  const gatePorts = rest.slice(count * 2, count * 2 + spec.gates);
-  const internal = rest.slice(count * 2 + spec.gates);
+  const gatePorts = otherPorts.slice(count * 2, count * 2 + spec.gates);
+  const internal = otherPorts.slice(count * 2 + spec.gates);
   const relayPorts = internal.slice(0, spec.gates);
   const adminPorts = internal.slice(spec.gates);
   return {
@@ -132,10 +132,10 @@
   kind: string,
   id: string,
   port: number,
-  extra: readonly string[] = [],
+  extraArgs: readonly string[] = [],
 ): Launch {
   const address = ['--host', readHost(spec), '--port', String(port)];
-  const args = ['standin', kind, '--id', id, ...address, ...extra];
+  const args = ['standin', kind, '--id', id, ...address, ...extraArgs];
   return {name: id, script: CLI_BIN, args, stopRank: 2};
 }
 
--- a/packages/nutmeggauge/src/e2e/api.test.ts
+++ b/packages/nutmeggauge/src/e2e/api.test.ts
@@ -19,7 +19,7 @@
     await stack.close();
   });
 
-  it('returns a complete answer to a completion through gate, agent and engine', async () => {
+  it('returns the complete answer to a completion from the engine through agent and gate', async () => {
     const res = await postJson(
       `${stack.gateUrl}/v1/completions`,
       {model: 'chat', prompt: 'x'.repeat(8000), max_tokens: 5},
--- a/packages/nutmeggauge/src/e2e/config-faults.test.ts
+++ b/packages/nutmeggauge/src/e2e/config-faults.test.ts
@@ -52,8 +52,10 @@
       ...(base.accounts as object[]),
       {id: 'acct-new', keys: ['new-key-0003'], pools: ['chat']},
     ];
-    const v2 = stack.config.publish({...base, accounts});
-    await waitUntil(async () => (await readConfigVersion(stack)) === v2);
+    const newVersion = stack.config.publish({...base, accounts});
+    await waitUntil(
+      async () => (await readConfigVersion(stack)) === newVersion,
+    );
     stack.config.setMode('stale');
     await waitUntil(() => stack.config.calls() > 3);
     const res = await postJson(
@@ -62,7 +64,7 @@
       {authorization: 'Bearer new-key-0003'},
     );
     stack.config.setMode('up');
-    expect(await readConfigVersion(stack)).toEqual(v2);
+    expect(await readConfigVersion(stack)).toEqual(newVersion);
     expect(res.status).toEqual(200);
   });
 
--- a/packages/nutmeggauge/src/e2e/drain.test.ts
+++ b/packages/nutmeggauge/src/e2e/drain.test.ts
@@ -13,7 +13,11 @@
 import type {Stack} from '../test/stack.js';
 
 const auth = {authorization: `Bearer ${TEST_KEY}`};
-const long = {model: 'chat', prompt: 'd'.repeat(4000), max_tokens: 100};
+const long = {
+  model: 'chat',
+  prompt: 'd'.repeat(4000),
+  max_tokens: 100,
+};
 
 describe('target whose agent drains', () => {
   let stack: Stack;
@@ -135,7 +139,7 @@
 
 /**
  * Sends a request and, after its answer, a second request that the gate reads
- * only after it was told to stop.
+ * only after its drain has begun.
  */
 function sendRequestDuringStop(
   stack: Stack,
@@ -164,7 +168,7 @@
 /** Length of a prompt that the gate receives in many reads, in characters. */
 const LONG_PROMPT_CHARS = 8_000_000;
 
-describe('gate that is told to stop', () => {
+describe('gate whose drain begins', () => {
   let stack: Stack;
   beforeEach(async () => {
     stack = await startStack({engines: 1});
@@ -174,8 +178,8 @@
   });
 
   it('answers a request that has already arrived with status 503 and closes its connection', async () => {
-    // Guards against a connection that is reset on stop because a request on it
-    // is unread.
+    // Guards against a connection that is reset by the drain because a request
+    // on it is unread.
     const {heads, hasReset} = await sendRequestDuringStop(stack, 's');
     expect(hasReset).toEqual(false);
     expect(heads.map(head => head.slice(9, 12))).toEqual(['200', '503']);
@@ -192,7 +196,7 @@
   });
 });
 
-describe('gate that is told to stop during a request', () => {
+describe('gate whose drain begins during a request', () => {
   let stack: Stack;
   before(async () => {
     stack = await startStack({engines: 1});
@@ -202,7 +206,7 @@
   });
 
   it('sends Connection: close with the answer', async () => {
-    // Guards against callers that reuse a connection to a stopped gate.
+    // Guards against callers that reuse a connection to a draining gate.
     const {port, hostname} = new URL(stack.gateUrl);
     const text = await new Promise<string>(resolve => {
       let received = '';
--- a/packages/nutmeggauge/src/e2e/streams.test.ts
+++ b/packages/nutmeggauge/src/e2e/streams.test.ts
@@ -45,7 +45,7 @@
     await stack.close();
   });
 
-  it('is resumed on another engine and continues the text of the first one', async () => {
+  it('is resumed on another engine and continues the text of the first engine', async () => {
     // Guards against an answer that mixes the tokens of two runs.
     const {result, letter} = await streamAndKillEngine(stack);
     expect(result.done).toEqual(true);
--- a/packages/nutmeggauge/src/faults/random-faults.ts
+++ b/packages/nutmeggauge/src/faults/random-faults.ts
@@ -14,20 +14,26 @@
   readonly gates: readonly string[];
   /** Names of the agents and of their targets. */
   readonly backends: readonly string[];
-  /** Length of the load, in ms: every fault begins during the load and ends with it. */
+  /**
+   * Length of the load, in ms: every fault begins during the load and ends at
+   * most `MIN_FAULT_MS` after the load.
+   */
   readonly lengthMs: number;
 }
 
 /** Mean time between the starts of two faults, in ms. */
 const MEAN_FAULT_INTERVAL_MS = 700;
 
-/** Longest suspension of a gate, in ms: above the idle timeout of its connections. */
+/**
+ * Longest suspension of a gate, in ms: above the idle timeout of its
+ * connections.
+ */
 const MAX_GATE_PAUSE_MS = 7500;
 
-/** Longest fault other than the suspension of a gate, in ms. */
+/** Longest duration of a fault other than the suspension of a gate, in ms. */
 const MAX_FAULT_MS = 3000;
 
-/** Shortest fault, in ms. */
+/** Shortest duration of a fault, in ms. */
 const MIN_FAULT_MS = 20;
 
 /**
@@ -69,13 +75,13 @@
     faults.push({...fault, atMs, forMs: Math.min(forMs, lengthMs - atMs + 1)});
     // Half of the stopped gates are suspended when SIGTERM is sent.
     if (fault.kind !== 'stop' || draw(2) === 0) continue;
-    const pausedMs = Math.min(atMs, draw(MAX_GATE_PAUSE_MS));
+    const pausedBeforeMs = Math.min(atMs, draw(MAX_GATE_PAUSE_MS));
     const resumeMs = Math.min(atMs + draw(MAX_FAULT_MS), lengthMs);
     faults.push({
       kind: 'pause',
       process: fault.process,
-      atMs: atMs - pausedMs,
-      forMs: pausedMs + MIN_FAULT_MS + resumeMs - atMs,
+      atMs: atMs - pausedBeforeMs,
+      forMs: pausedBeforeMs + MIN_FAULT_MS + resumeMs - atMs,
     });
   }
   return faults;
--- a/packages/nutmeggauge/src/losses/engine-activity.ts
+++ b/packages/nutmeggauge/src/losses/engine-activity.ts
@@ -13,7 +13,7 @@
   /** Start of the span as wall-clock time of the gate, in ms. */
   readonly from: number;
   readonly to: number;
-  /** The span belongs to the selected prompt. */
+  /** Whether the span belongs to the selected prompt. */
   readonly isSelected: boolean;
 }
 
@@ -34,8 +34,8 @@
 const PLOT_MARGIN_MS = 1000;
 
 /**
- * Picks the prompt to plot: the largest one with a late answer, or else the
- * largest one.
+ * Picks the prompt to plot: the largest prompt with a late answer, or the
+ * largest prompt if no answer is late.
  *
  * @example
  * pickPrompt(requests)?.requestId;
--- a/packages/nutmeggauge/src/losses/judge-request.test.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.test.ts
@@ -30,7 +30,7 @@
 }
 
 describe('judging requests', () => {
-  it('tells a late answer that was predicted in time from one that was predicted late', () => {
+  it('distinguishes a late answer predicted in time from a late answer predicted late', () => {
     // Guards against blaming the prediction for the time for which the
     // placement of a prompt was deferred.
     const mispredicted = judgeSingle([
@@ -83,7 +83,7 @@
   });
 
   it('assigns a cause and a full loss to each outcome that is not a successful answer', () => {
-    const ends = {
+    const causesByOutcome = {
       too_late: 'refused',
       overloaded: 'refused',
       no_target: 'refused',
@@ -93,7 +93,7 @@
       target_failure: 'cut',
       caller_left: 'caller-left',
     } as const;
-    for (const [outcome, cause] of Object.entries(ends)) {
+    for (const [outcome, cause] of Object.entries(causesByOutcome)) {
       const judged = judgeSingle([buildRequestEndedLine(900, 'q', {outcome})]);
       expect(judged.cause).toEqual(cause);
       expect(judged.lost).toEqual(judged.worth);
--- a/packages/nutmeggauge/src/losses/judge-request.ts
+++ b/packages/nutmeggauge/src/losses/judge-request.ts
@@ -46,18 +46,18 @@
   readonly size: string;
   readonly tokens: number | undefined;
   /**
-   * First arrival of the request, as wall-clock time of the gate there, in ms.
+   * Arrival of the first client attempt, as wall-clock time of its gate, in ms.
    */
   readonly arrivedAt: number;
   readonly worth: number;
   readonly cause: Cause | undefined;
   readonly lost: number;
   /**
-   * The end of the request is not in the logs, and the request was not lost
-   * with its gate process.
+   * Whether the end of the request is missing from the logs although the
+   * request was not lost with its gate process.
    */
   readonly isOpen: boolean;
-  /** The route of the request has a latency objective. */
+  /** Whether the route of the request has a latency objective. */
   readonly hasObjective: boolean;
   readonly forecast: TtftForecast | undefined;
   readonly attempt: ClientAttempt;
--- a/packages/nutmeggauge/src/losses/sourced-lines.ts
+++ b/packages/nutmeggauge/src/losses/sourced-lines.ts
@@ -25,11 +25,13 @@
 export interface SourcedLines {
   readonly files: readonly string[];
   readonly lines: readonly SourcedLine[];
-  /** Lines with a `{` but no complete JSON object. */
+  /** Number of lines with a `{` but no complete JSON object. */
   readonly malformedLines: number;
-  /** JSON lines of other programs. */
+  /** Number of JSON lines of other programs. */
   readonly foreignLines: number;
-  /** Lines left out because an earlier file contains them as well. */
+  /**
+   * Number of lines left out because an earlier file contains the same line.
+   */
   readonly repeatedLines: number;
 }
 
@@ -103,15 +105,16 @@
  */
 export function readSourcedLines(paths: readonly string[]): SourcedLines {
   const files = listLogFiles(paths);
-  const contents = files
+  const linesOfFiles = files
     .map(readFileLines)
     .sort((a, b) => a.firstTimestamp - b.firstTimestamp);
-  const lines = mergeFiles(contents);
+  const lines = mergeFiles(linesOfFiles);
   return {
     files,
     lines,
-    malformedLines: sum(contents.map(({malformed}) => malformed)),
-    foreignLines: sum(contents.map(({foreign}) => foreign)),
-    repeatedLines: sum(contents.map(file => file.lines.length)) - lines.length,
+    malformedLines: sum(linesOfFiles.map(({malformed}) => malformed)),
+    foreignLines: sum(linesOfFiles.map(({foreign}) => foreign)),
+    repeatedLines:
+      sum(linesOfFiles.map(file => file.lines.length)) - lines.length,
   };
 }
--- a/packages/nutmeggauge/src/soak/check.test.ts
+++ b/packages/nutmeggauge/src/soak/check.test.ts
@@ -52,7 +52,8 @@
 
 function buildStream(events: number): string {
   let text = '';
-  for (let n = 1; n <= events; n++) text += buildEvent('q1', n);
+  for (let eventNumber = 1; eventNumber <= events; eventNumber++)
+    text += buildEvent('q1', eventNumber);
   return text;
 }
 
@@ -68,7 +69,7 @@
     expect(listViolatedInvariants({records: [STREAM_RECORD]})).toEqual([]);
   });
 
-  it('reports an unanswered request unless its gate was down or had been told to stop in time', () => {
+  it('reports an unanswered request unless its gate was down or had received SIGTERM early enough', () => {
     const lost = {
       ...SERVED_RECORD,
       status: undefined,
--- a/packages/nutmeggauge/src/soak/check.ts
+++ b/packages/nutmeggauge/src/soak/check.ts
@@ -15,7 +15,9 @@
 import type {CallerRecord, InjectedFault, SoakHistory} from './history.js';
 import type {FaultAction} from './schedule.js';
 
-/** Status codes that guarantee that a request has not run and never will. */
+/**
+ * Status codes that guarantee that a request has not run and never will run.
+ */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** Maximum number of attempts per request, as configured for its route. */
@@ -27,7 +29,9 @@
 /** Time after the end of a fault until a gate counts as reconnected, in ms. */
 const RECONNECT_MS = 3000;
 
-/** Time until every gate must know of a drain or a revoked key, in ms. */
+/**
+ * Time until every gate must have applied a drain or a key revocation, in ms.
+ */
 const PROPAGATION_MS = 2000;
 
 /** Tolerance added to the time bound of an answer, in ms. */
@@ -91,7 +95,10 @@
   return found;
 }
 
-/** Checks that a success is signed and has the body that targets send for the request. */
+/**
+ * Checks that a success is signed and has the body that targets send for the
+ * request.
+ */
 function checkAnswer(record: CallerRecord): readonly Violation[] {
   const {requestId, kind, status, body, isWhole, hasGivenUp} = record;
   if (status !== 200) return [];
@@ -115,8 +122,8 @@
 
 function buildStreamBody(requestId: string): string {
   let text = '';
-  for (let number = 1; number <= STREAM_EVENTS; number++)
-    text += buildEvent(requestId, number);
+  for (let eventNumber = 1; eventNumber <= STREAM_EVENTS; eventNumber++)
+    text += buildEvent(requestId, eventNumber);
   return text;
 }
 
@@ -213,7 +220,9 @@
     return [];
   }
 
-  /** Checks that a graceful stop cuts off no request that a healthy target runs. */
+  /**
+   * Checks that a graceful stop cuts off no request that a healthy target runs.
+   */
   private checkGracefulStop(record: CallerRecord): readonly Violation[] {
     const {requestId, gate, sentAt, endedAt, status, isWhole} = record;
     const runs = this.runs.get(requestId) ?? [];
@@ -249,7 +258,10 @@
     return [{promise: 'recovery', requestId: undefined, detail}];
   }
 
-  /** Returns true if no fault of the gate, its links or the store was active shortly before. */
+  /**
+   * Returns true if no fault of the gate, its links or the store was active at
+   * the given time or shortly before.
+   */
   private isInContact(gate: number, at: number): boolean {
     return !this.isAffected(
       at,
@@ -275,14 +287,16 @@
   }
 }
 
-/** Returns true for a fault of this gate or of one of its own links. */
+/** Returns true for a fault of the given gate or of one of its links. */
 function isGateFault(action: FaultAction, gate: number): boolean {
   if (action.kind === 'all-gates-kill') return true;
   if (action.kind === 'gate-reload') return false;
   return 'gate' in action && action.gate === gate;
 }
 
-/** Returns true for a fault of this gate, its own links or any target. */
+/**
+ * Returns true for a fault of the given gate, one of its links or any target.
+ */
 function isGateOrTargetFault(action: FaultAction, gate: number): boolean {
   return isGateFault(action, gate) || 'target' in action;
 }
