--- a/packages/gate/src/admission/estimate.ts
+++ b/packages/gate/src/admission/estimate.ts
@@ -1,23 +1,26 @@
 /**
- * The admission estimate: how long a request would take on a target, from
- * the target's last load report. A request whose estimate passes its
- * deadline is refused at once rather than failed late.
+ * Admission estimate: the time that a request would take on a target, computed
+ * from the target's last load report. The gate refuses a request that would
+ * miss its deadline at once, instead of failing it after the deadline.
  */
 import {findLengthClass} from '@nutmeggauge/core';
 import type {TargetView} from '../membership/target-link.js';
 import type {RouteRequest} from '../routing/router.js';
 
-/** Engine figures behind the estimate. */
+/** Engine speeds for the estimate, and whether admission applies it. */
 export interface EstimateFigures {
   readonly prefillTokensPerSecond: number;
   readonly decodeStepMs: number;
-  /** False admits whatever has a target, however long its queue. */
+  /**
+   * False admits every request that has a usable target, whatever the estimate.
+   */
   readonly refusesLate: boolean;
 }
 
 /**
- * Estimates ms until a request finishes on `target`: engines prefill shorter
- * prompts first, so its own and shorter length classes count.
+ * Estimates the time until a request finishes on `target`, in ms. Engines
+ * prefill shorter prompts first, so only pending prompts of the request's own
+ * and shorter length classes count.
  *
  * @example
  * estimateFinishMs(target, {promptTokens: 1000, maxTokens: 64}, figures);
@@ -27,9 +30,9 @@
   request: Pick<RouteRequest, 'promptTokens' | 'maxTokens'>,
   figures: EstimateFigures,
 ): number {
-  const own = findLengthClass(request.promptTokens);
+  const ownClass = findLengthClass(request.promptTokens);
   let tokens = request.promptTokens;
-  for (let lengthClass = 0; lengthClass <= own; lengthClass++) {
+  for (let lengthClass = 0; lengthClass <= ownClass; lengthClass++) {
     tokens +=
       (target.load?.pendingByClass[lengthClass] ?? 0) +
       target.unreportedByClass[lengthClass];
--- a/packages/gate/src/admission/limits.ts
+++ b/packages/gate/src/admission/limits.ts
@@ -1,10 +1,11 @@
 /**
- * Per-account limits at one gate: a token bucket for the request rate and a
- * count of requests in flight. A refusal says when to come back.
+ * Limits per client account at one gate: a token bucket for the request rate
+ * and a maximum number of requests in flight. A refusal carries the time after
+ * which the caller may retry.
  */
 import type {Account} from '@nutmeggauge/core';
 
-/** Why admission refused a request, with when to come back. */
+/** Status, reason and retry delay of a request that admission refused. */
 export interface Refusal {
   readonly status: 429 | 503;
   readonly reason:
@@ -24,7 +25,7 @@
   refused: number;
 }
 
-/** What one client account has used at this gate since it started. */
+/** Usage of one client account at this gate since the gate started. */
 export interface AccountUsage {
   readonly id: string;
   readonly inFlight: number;
@@ -33,7 +34,7 @@
 }
 
 /**
- * Rate and concurrency limits of every account at this gate.
+ * Applies the rate and concurrency limits of client accounts at this gate.
  *
  * @example
  * const limits = createAccountLimits();
@@ -43,7 +44,10 @@
 export class AccountLimits {
   private readonly buckets = new Map<string, Bucket>();
 
-  /** Admits one request of `account`, or says why not. */
+  /**
+   * Admits one request of `account` and returns undefined, or returns the
+   * refusal.
+   */
   enter(account: Account, now = Date.now()): Refusal | undefined {
     const bucket = this.readBucket(account, now);
     if (bucket.inFlight >= account.maxConcurrent) {
@@ -63,14 +67,18 @@
     return undefined;
   }
 
-  /** Marks one admitted request of `accountId` as finished. */
+  /**
+   * Removes one finished request of `accountId` from the requests in flight.
+   */
   leave(accountId: string): void {
     const bucket = this.buckets.get(accountId);
     if (bucket !== undefined)
       bucket.inFlight = Math.max(0, bucket.inFlight - 1);
   }
 
-  /** Usage of every account that has sent a request, by id. */
+  /**
+   * Returns the usage of every account that has sent a request, sorted by id.
+   */
   describe(): readonly AccountUsage[] {
     return [...this.buckets]
       .map(([id, {inFlight, admitted, refused}]) => ({
@@ -103,7 +111,7 @@
 }
 
 /**
- * Creates empty account limits.
+ * Creates account limits without any usage.
  *
  * @example
  * const limits = createAccountLimits();
--- a/packages/gate/src/routing/load-routers.ts
+++ b/packages/gate/src/routing/load-routers.ts
@@ -1,5 +1,5 @@
 /**
- * Routers that read the agents' load reports.
+ * Routing policies that use the load reports of agents.
  */
 import {LENGTH_CLASSES, findLengthClass} from '@nutmeggauge/core';
 import {PrefixMemory} from './prefix-memory.js';
@@ -7,38 +7,51 @@
 import type {TargetView} from '../membership/target-link.js';
 import type {RouteRequest} from './router.js';
 
-/** Outstanding requests plus the agent's reported queue. */
-function readQueueDepth(target: TargetView): number {
+/**
+ * Returns the gate's outstanding requests plus the queue length that the agent
+ * reported.
+ */
+function countQueuedRequests(target: TargetView): number {
   return target.outstanding + (target.load?.queued ?? 0);
 }
 
 /**
- * Prompt tokens queued or in prefill at the target in one length class, with
- * this gate's own newest sends.
+ * Returns the prompt tokens of one length class that are queued or in prefill
+ * at the target, including those that this gate sent since the last load report.
  */
-function readPending(target: TargetView, lengthClass: number): number {
+function countPendingTokens(target: TargetView, lengthClass: number): number {
   return (
     (target.load?.pendingByClass[lengthClass] ?? 0) +
     target.unreportedByClass[lengthClass]
   );
 }
 
-/** Prompt tokens pending at the target in the classes from `first` to `last`. */
-function sumPending(target: TargetView, first: number, last: number): number {
+/**
+ * Returns the prompt tokens pending at the target in length classes `first` to
+ * `last`.
+ */
+function sumPendingTokens(
+  target: TargetView,
+  first: number,
+  last: number,
+): number {
   let sum = 0;
-  for (let c = first; c <= last; c++) sum += readPending(target, c);
+  for (let c = first; c <= last; c++) sum += countPendingTokens(target, c);
   return sum;
 }
 
-/** Requests at the target: those reported, or this gate's own if they are more. */
-function readActive(target: TargetView): number {
+/**
+ * Returns the greater of the reported requests and this gate's outstanding
+ * requests.
+ */
+function countActiveRequests(target: TargetView): number {
   const reported = (target.load?.queued ?? 0) + (target.load?.inFlight ?? 0);
   return Math.max(reported, target.outstanding);
 }
 
 /**
- * Picks the candidate with the lowest score, at random among equals, so that
- * gates do not herd.
+ * Picks the candidate with the lowest score. Ties are broken at random, so that
+ * gates do not all choose the same target.
  *
  * @example
  * pickLowest(candidates, c => c.outstanding, Math.random);
@@ -61,7 +74,7 @@
 }
 
 /**
- * Samples two candidates at random and takes the less loaded one.
+ * Samples two candidates at random and chooses the one with fewer requests.
  *
  * @example
  * new PowerOfTwoRouter().choose(candidates, request);
@@ -80,18 +93,18 @@
     if (second >= first) second++;
     const a = candidates[first];
     const b = candidates[second];
-    return readQueueDepth(a) <= readQueueDepth(b) ? a : b;
+    return countQueuedRequests(a) <= countQueuedRequests(b) ? a : b;
   }
 }
 
-/** Prompt tokens that one token still to be generated weighs as much as. */
+/** Cost of one token still to be generated, in prompt tokens. */
 const DECODE_WEIGHT = 1;
 
 /**
- * Token load, after the KV-aware routing note
- * (PAPER-kv-aware-routing-ray-20bc.md): the request's prefill that is left
- * after prefix-cache overlap, plus the target's pending prefill and decode
- * work, lowest first.
+ * Chooses the target with the lowest token load: the request's prompt tokens
+ * that are not in the target's prefix cache, plus the target's pending prefill
+ * and decode tokens. Follows Ray's KV-cache-aware routing
+ * (PAPER-kv-aware-routing-ray-20bc.md).
  *
  * @example
  * new TokenLoadRouter().choose(candidates, request);
@@ -110,7 +123,7 @@
   ): T | undefined {
     return pickLowest(
       candidates,
-      candidate => this.readTokenLoad(candidate, request),
+      candidate => this.estimateLoad(candidate, request),
       this.random,
     );
   }
@@ -119,35 +132,44 @@
     this.memory.record(target.id, request.prefixes);
   }
 
-  /** The request's prefill that is left after prefix-cache overlap, in tokens. */
-  protected readOwnPrefill(target: TargetView, request: RouteRequest): number {
+  /**
+   * Estimates the request's prompt tokens that are not in the target's prefix
+   * cache.
+   */
+  protected estimatePrefillTokens(
+    target: TargetView,
+    request: RouteRequest,
+  ): number {
     const overlap = this.memory.countOverlap(target.id, request.prefixes);
     return Math.max(0, request.promptTokens - overlap);
   }
 
-  protected readTokenLoad(target: TargetView, request: RouteRequest): number {
+  protected estimateLoad(target: TargetView, request: RouteRequest): number {
     return (
-      this.readOwnPrefill(target, request) +
-      sumPending(target, 0, LENGTH_CLASSES - 1) +
+      this.estimatePrefillTokens(target, request) +
+      sumPendingTokens(target, 0, LENGTH_CLASSES - 1) +
       DECODE_WEIGHT * (target.load?.pendingDecodeTokens ?? 0)
     );
   }
 }
 
 /**
- * Cost of a longer prompt under way for a shorter one, in prompt tokens: the
- * rest of the present chunk and a share of the next.
+ * Maximum cost of longer pending prompts for a shorter request, in prompt
+ * tokens: the rest of the current prefill chunk and a share of the next.
  */
-const LONGER_BESIDE_TOKENS = 8192;
+const LONGER_PROMPT_COST_TOKENS = 8192;
 
-/** What each request at a target adds to the steps of the others, in prompt tokens. */
-const ACTIVE_REQUEST_TOKENS = 256;
+/**
+ * Cost of each request at a target, in prompt tokens, because it lengthens the
+ * decode steps of the other requests.
+ */
+const ACTIVE_REQUEST_COST_TOKENS = 256;
 
 /**
- * Token load by length class: engines prefill shorter prompts first, so longer
- * classes cost no more than the chunk under way. Adds a cost for each request
- * at the target, after the active-request weight of
- * PAPER-kv-aware-routing-ray-20bc.md.
+ * Chooses the target with the lowest token load by length class. Engines
+ * prefill shorter prompts first, so pending prompts of longer classes cost at
+ * most about one prefill chunk. Each request at the target adds a cost, like
+ * the active-request weight in PAPER-kv-aware-routing-ray-20bc.md.
  *
  * @example
  * new ClassLoadRouter().choose(candidates, request);
@@ -155,18 +177,22 @@
 export class ClassLoadRouter extends TokenLoadRouter {
   override readonly name = 'class-load';
 
-  protected override readTokenLoad(
+  protected override estimateLoad(
     target: TargetView,
     request: RouteRequest,
   ): number {
-    const own = findLengthClass(request.promptTokens);
-    const before = sumPending(target, 0, own);
-    const longer = sumPending(target, own + 1, LENGTH_CLASSES - 1);
+    const ownClass = findLengthClass(request.promptTokens);
+    const before = sumPendingTokens(target, 0, ownClass);
+    const longerTokens = sumPendingTokens(
+      target,
+      ownClass + 1,
+      LENGTH_CLASSES - 1,
+    );
     return (
-      this.readOwnPrefill(target, request) +
+      this.estimatePrefillTokens(target, request) +
       before +
-      Math.min(longer, LONGER_BESIDE_TOKENS) +
-      ACTIVE_REQUEST_TOKENS * readActive(target)
+      Math.min(longerTokens, LONGER_PROMPT_COST_TOKENS) +
+      ACTIVE_REQUEST_COST_TOKENS * countActiveRequests(target)
     );
   }
 }
--- a/packages/gate/src/routing/policies.ts
+++ b/packages/gate/src/routing/policies.ts
@@ -1,5 +1,5 @@
 /**
- * Maps a policy name from the settings to its Router.
+ * Maps the name of a routing policy in the settings to its Router.
  */
 import {LeastOutstandingRouter, RoundRobinRouter} from './router.js';
 import {
@@ -11,7 +11,7 @@
 import type {RoutingPolicy} from '../settings.js';
 
 /**
- * Creates the router for `policy`.
+ * Creates the Router for `policy`.
  *
  * @example
  * resolveRouter('least-outstanding').name; // 'least-outstanding'
--- a/packages/gate/src/routing/prefix-memory.ts
+++ b/packages/gate/src/routing/prefix-memory.ts
@@ -1,23 +1,23 @@
 /**
- * Which prompt prefixes were sent to which target, and so are likely in its
- * cache. The gate's own sends replace the engines' cache events, which are late
- * and incomplete (docs/design/0005-routing.md).
+ * Records which prompt prefixes were sent to which target and are therefore
+ * likely in its prefix cache. The gate uses its own requests because the
+ * engines' cache events are late and incomplete (docs/design/0005-routing.md).
  */
 import {createHash} from 'node:crypto';
 import {LRUCache} from 'lru-cache';
 import {CHARS_PER_TOKEN} from '@nutmeggauge/core';
 
-/** Length of the shortest beginning that is remembered, in tokens. */
-export const PREFIX_UNIT_TOKENS = 512;
+/** Length of the shortest recorded prefix, in tokens. */
+export const MIN_PREFIX_TOKENS = 512;
 
-/** Beginnings of 512, 1024 … tokens are remembered, this many lengths. */
-const PREFIX_LENGTHS = 7;
+/** Number of recorded prefix lengths: 512, 1024 … tokens. */
+const PREFIX_LENGTH_COUNT = 7;
 
-/** Most beginnings remembered by one gate. */
+/** Maximum number of prefixes that one gate keeps. */
 const MAX_PREFIXES = 50_000;
 
 /**
- * Hashes the beginnings of `prompt` of 512, 1024 … 32,768 tokens.
+ * Hashes the prefixes of `prompt` with 512, 1024 … 32,768 tokens.
  *
  * @example
  * hashPrefixes('a'.repeat(4096)).length; // 2: 512 and 1024 tokens
@@ -26,8 +26,8 @@
   const hash = createHash('sha1');
   const hashes: string[] = [];
   let done = 0;
-  for (let step = 0; step < PREFIX_LENGTHS; step++) {
-    const end = PREFIX_UNIT_TOKENS * CHARS_PER_TOKEN * 2 ** step;
+  for (let step = 0; step < PREFIX_LENGTH_COUNT; step++) {
+    const end = MIN_PREFIX_TOKENS * CHARS_PER_TOKEN * 2 ** step;
     if (end > prompt.length) break;
     hash.update(prompt.slice(done, end));
     done = end;
@@ -37,7 +37,7 @@
 }
 
 /**
- * Sends of one gate, by beginning.
+ * Maps each prompt prefix to the targets that one gate sent it to.
  *
  * @example
  * const memory = new PrefixMemory();
@@ -49,7 +49,7 @@
     max: MAX_PREFIXES,
   });
 
-  /** Records that a prompt with these beginnings was sent to `targetId`. */
+  /** Records that a prompt with these prefix hashes was sent to `targetId`. */
   record(targetId: string, prefixes: readonly string[]): void {
     for (const prefix of prefixes) {
       const targets = this.targetsByPrefix.get(prefix) ?? new Set<string>();
@@ -58,11 +58,14 @@
     }
   }
 
-  /** Tokens at the prompt's beginning that `targetId` was sent before. */
+  /**
+   * Returns the length in tokens of the longest prefix sent to `targetId`
+   * before.
+   */
   countOverlap(targetId: string, prefixes: readonly string[]): number {
     for (let i = prefixes.length - 1; i >= 0; i--) {
       if (this.targetsByPrefix.get(prefixes[i])?.has(targetId))
-        return PREFIX_UNIT_TOKENS * 2 ** i;
+        return MIN_PREFIX_TOKENS * 2 ** i;
     }
     return 0;
   }
--- a/packages/gate/src/routing/router.ts
+++ b/packages/gate/src/routing/router.ts
@@ -1,22 +1,22 @@
 /**
- * Routing policies. Each policy is a subclass of Router; the gate picks one
- * by name from its settings. Round robin and least-outstanding are the
- * baselines every other policy is measured against.
+ * Routing policies. Each policy is a subclass of Router, which the gate's
+ * settings select by name. Round robin and least outstanding are the baselines
+ * for comparing the other policies.
  */
 import type {TargetView} from '../membership/target-link.js';
 
-/** What a router may read of the request it places. */
+/** Data of a request that routers read. */
 export interface RouteRequest {
   readonly promptTokens: number;
   readonly maxTokens: number;
-  /** True for a prompt that runs in the long lane. */
+  /** True for a prompt of more than SHORT_MAX_TOKENS tokens. */
   readonly isLong: boolean;
-  /** Hashes of the prompt's beginnings; see routing/prefix-memory. */
+  /** Hashes of the prompt's prefixes; see routing/prefix-memory. */
   readonly prefixes: readonly string[];
 }
 
 /**
- * Chooses one target among usable candidates.
+ * Chooses a target for a request among usable candidates.
  *
  * @example
  * const target = new LeastOutstandingRouter().choose(candidates, request);
@@ -24,20 +24,22 @@
 export abstract class Router {
   abstract readonly name: string;
 
-  /** Picks a candidate; undefined only when `candidates` is empty. */
+  /** Chooses a candidate; returns undefined only when `candidates` is empty. */
   abstract choose<T extends TargetView>(
     candidates: readonly T[],
     request: RouteRequest,
   ): T | undefined;
 
-  /** Told of each request sent; a router that remembers sends overrides it. */
+  /**
+   * Records a dispatched request; does nothing unless a policy overrides it.
+   */
   recordSent(target: TargetView, request: RouteRequest): void {
     void target;
     void request;
   }
 }
 
-/** Takes candidates in turn. */
+/** Chooses the candidates in turn. */
 export class RoundRobinRouter extends Router {
   readonly name = 'round-robin';
   private next = 0;
@@ -48,7 +50,7 @@
   }
 }
 
-/** Takes the candidate with the fewest requests outstanding from this gate. */
+/** Chooses the candidate with the fewest outstanding requests of this gate. */
 export class LeastOutstandingRouter extends Router {
   readonly name = 'least-outstanding';
 
